--- a/coord/standings/demand.go
+++ b/coord/standings/demand.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Load pattern: the control leader changes while a few models carry most requests.
-//
+// Load pattern: the control leader changes while a few models receive most requests.
 // Without it: the new leader's empty table reports no demand, agents unload the busiest models
 // for the next rare one, and callers are refused until they are loaded again.
 // Rule: a new table publishes no demand for a second; agents keep the demand that they have.
 
-// demandKnownAfter is the age from which a table publishes demand.
-const demandKnownAfter = time.Second
+// demandWarmUp is the minimum age at which a table publishes demand.
+const demandWarmUp = time.Second
 
-// listWait is how long a table without the list counts as incomplete.
-const listWait = 3 * time.Second
+// maxListWait limits how long a table counts as incomplete because the list was not read.
+const maxListWait = 3 * time.Second
 
-// Filling reports whether the table is still syncing: it lacks the list, or the report of an
-// agent whose target the list names. The list does not say which models a target holds.
+// Filling reports whether the table is incomplete after a leader change: the platform's list
+// was not read yet, or a listed target of a service that runs models has no agent report. The
+// list does not contain the models that a target holds. The table counts as complete after
+// maxListWait without a list, or after demandWarmUp with one, even if reports are missing.
 func Filling(t *Table, u *Use, runsModels func(service string) bool, now time.Time) bool {
 	age := u.age(now)
 	switch {
 	case t.listedAt.IsZero():
-		return age < listWait
-	case age < demandKnownAfter:
-		return t.awaitsReports(runsModels)
+		return age < maxListWait
+	case age < demandWarmUp:
+		return t.lacksReports(runsModels)
 	}
 	return false
 }
 
-func (t *Table) awaitsReports(runsModels func(service string) bool) bool {
-	for _, s := range t.rows { // any order: one is enough
+func (t *Table) lacksReports(runsModels func(service string) bool) bool {
+	for _, s := range t.rows { // any order: one match decides
 		if !s.Reported && runsModels(s.Service) {
 			return true
 		}
@@ -39,22 +40,22 @@
 	return false
 }
 
-// Demand is what the fleet's callers ask of a model, and who can answer.
+// Demand is the fleet-wide request rate of a model and the number of targets that serve it.
 type Demand struct {
 	Model          string
-	WorthPerSecond float64
-	Copies         int // targets that hold it and do not leave
-	Pressed        int // of these, how many have more work than they run at once
+	WorthPerSecond float64 // requests a second, weighted by priority rank
+	Copies         int     // targets that hold it and are not draining
+	Pressed        int     // how many of these are saturated
 }
 
-// Sum returns the demand for each model that is asked for or held, in order of name.
-// Known is false while that would be misleading.
+// Sum returns the demand for each model that is requested or held, ordered by name.
+// Known is false while the record is younger than demandWarmUp and would understate the demand.
 func Sum(t *Table, u *Use, now time.Time) (demand []Demand, known bool) {
-	if u.age(now) < demandKnownAfter {
+	if u.age(now) < demandWarmUp {
 		return nil, false
 	}
 	sums := map[string]*Demand{}
-	sum := func(model string) *Demand {
+	entry := func(model string) *Demand {
 		if sums[model] == nil {
 			sums[model] = &Demand{Model: model}
 		}
@@ -65,7 +66,7 @@
 			continue
 		}
 		for _, m := range s.Models {
-			d := sum(m.Name)
+			d := entry(m.Name)
 			d.Copies++
 			if s.Pressed() {
 				d.Pressed++
@@ -73,7 +74,7 @@
 		}
 	}
 	for _, model := range u.Models(now) {
-		sum(model).WorthPerSecond = u.PerSecond(model, now)
+		entry(model).WorthPerSecond = u.PerSecond(model, now)
 	}
 	for _, d := range sums { // any order: sorted below
 		demand = append(demand, *d)
--- a/coord/standings/doc.go
+++ b/coord/standings/doc.go
@@ -1,13 +1,14 @@
-// Package standings is the aggregate of how all targets stand: what the platform's
-// list shows, which lags, joined with what the agents beside the targets say, which
-// is fresh but can be missing; and what callers ask for over the fleet.
+// Package standings is the control leader's table of the status of all targets. It merges
+// the platform's target list, which lags by seconds, with the reports of the agents next to
+// the targets, which are current but can be missing. It also records the demand of the
+// fleet's callers for each model.
 //
-// Load pattern: targets crash, restart under the same address, leave, and change
-// what they hold within seconds, while many entry hosts choose among them.
+// Load pattern: targets crash, restart at the same address, leave, and change the models
+// that they hold within seconds, while many entry hosts route requests to them.
+// Without it: each entry host polls the platform's list itself, whose calls are rate-limited
+// and billed, and sends requests for seconds to targets that an agent has reported dead.
+// Rule: the leader keeps one merged table, and entry hosts poll that.
 //
-// Without one joined view each entry host would ask the platform's list itself,
-// whose calls are limited and priced, and would send requests for seconds to
-// targets that an agent knows to be gone.
-//
-// Time is an argument; the package holds no lock.
+// Callers pass the current time as an argument. Callers serialize access; the package
+// holds no lock.
 package standings
--- a/coord/standings/feed.go
+++ b/coord/standings/feed.go
@@ -8,58 +8,58 @@
 	"time"
 )
 
-// Load pattern: 120 agents report four times a second, and the demand for 350 models is
-// part of each reply.
-// Without it: the replies take a quarter of the leader's link, and replies to entry hosts
+// Load pattern: 120 agents report four times a second; replies carry the demand for 350 models.
+// Without it: the replies use a quarter of the leader's link, and replies to entry hosts
 // queue behind them.
-// Rule: an agent is sent the models whose demand has changed since its last report, other
-// than by the decay that the agent computes itself.
+// Rule: an agent is sent the models whose demand changed since its last report, other than by
+// the decay that it computes itself.
 
 const (
-	// demandTolerance is the part by which an agent's demand for a model may be off.
+	// demandTolerance is the maximum relative error of an agent's demand for a model.
 	demandTolerance = 0.2
-	// negligible is a demand that no decision depends on.
-	negligible = 2 * forgotten
-	// keptUnchanged is how long a model that is neither asked for nor held stays in the
-	// feed, so that agents get the end of its demand as a change.
-	keptUnchanged = 2 * ReportLife
+	// negligibleRate is the rate per second below which differences are not sent: no decision
+	// depends on them.
+	negligibleRate = 2 * minRate
+	// idleEntryTTL is how long a model that is neither requested nor held stays in the
+	// feed, so that agents receive the end of its demand as a change.
+	idleEntryTTL = 2 * ReportTTL
 )
 
-// DemandFeed is the leader's record of the demand that it published. It is not safe for
-// concurrent use.
+// DemandFeed is the leader's versioned record of the demand that it published. It is not
+// safe for concurrent use.
 type DemandFeed struct {
-	version uint64
-	floor   uint64 // a holder of an earlier version needs the whole
-	entries map[string]*published
+	version    uint64
+	minVersion uint64 // an agent with an earlier version needs all entries
+	entries    map[string]*feedEntry
 }
 
-type published struct {
+type feedEntry struct {
 	demand  Demand
 	at      time.Time
 	version uint64
 }
 
 // NewDemandFeed returns a feed without entries.
-func NewDemandFeed() *DemandFeed { return &DemandFeed{entries: map[string]*published{}} }
+func NewDemandFeed() *DemandFeed { return &DemandFeed{entries: map[string]*feedEntry{}} }
 
-// Version grows with each change.
+// Version returns the version of the last change; it only increases.
 func (f *DemandFeed) Version() uint64 { return f.version }
 
-// Publish records the demand at a time.
+// Publish records the demand as of now. A model that sum lacks has no demand.
 func (f *DemandFeed) Publish(sum []Demand, now time.Time) {
 	next := f.version + 1
-	named := make(map[string]bool, len(sum))
+	present := make(map[string]bool, len(sum))
 	for _, d := range sum {
-		named[d.Model] = true
+		present[d.Model] = true
 		f.publish(d, next, now)
 	}
 	for model, e := range f.entries {
-		if named[model] {
+		if present[model] {
 			continue
 		}
 		f.publish(Demand{Model: model}, next, now)
-		if now.Sub(e.at) > keptUnchanged {
-			f.floor = max(f.floor, e.version)
+		if now.Sub(e.at) > idleEntryTTL {
+			f.minVersion = max(f.minVersion, e.version)
 			delete(f.entries, model)
 		}
 	}
@@ -67,21 +67,21 @@
 
 func (f *DemandFeed) publish(d Demand, version uint64, now time.Time) {
 	e := f.entries[d.Model]
-	if e != nil && e.demand.decayed(now.Sub(e.at)).near(d) {
+	if e != nil && e.demand.decayed(now.Sub(e.at)).approxEqual(d) {
 		return
 	}
 	if e == nil {
-		e = &published{}
+		e = &feedEntry{}
 		f.entries[d.Model] = e
 	}
-	*e = published{d, now, version}
+	*e = feedEntry{d, now, version}
 	f.version = version
 }
 
-// Since returns the demand that changed after a version, in order of name. Whole says that
-// it is all there is.
+// Since returns the demand that changed after a version, decayed to now and ordered by model
+// name. Whole reports that changed has all entries and replaces what the agent has.
 func (f *DemandFeed) Since(version uint64, now time.Time) (changed []Demand, whole bool) {
-	whole = version == 0 || version > f.version || version < f.floor
+	whole = version == 0 || version > f.version || version < f.minVersion
 	for _, e := range f.entries { // any order: sorted below
 		if whole || e.version > version {
 			changed = append(changed, e.demand.decayed(now.Sub(e.at)))
@@ -93,43 +93,44 @@
 
 func byModel(a, b Demand) int { return cmp.Compare(a.Model, b.Model) }
 
-// decayed is the demand after a time in which nobody asked.
+// decayed returns the demand after an interval without requests.
 func (d Demand) decayed(elapsed time.Duration) Demand {
-	d.WorthPerSecond *= math.Exp(-max(0, elapsed.Seconds()) / useMemory.Seconds())
+	d.WorthPerSecond *= math.Exp(-max(0, elapsed.Seconds()) / demandTimeConstant.Seconds())
 	return d
 }
 
-// near reports whether a demand is as good as another one.
-func (d Demand) near(other Demand) bool {
-	more := max(d.WorthPerSecond, other.WorthPerSecond)
-	off := math.Abs(d.WorthPerSecond - other.WorthPerSecond)
-	return d.Copies == other.Copies && d.Pressed == other.Pressed && (more < negligible || off <= demandTolerance*more)
+// approxEqual reports whether two demands have the same copies and the same rate within
+// demandTolerance.
+func (d Demand) approxEqual(other Demand) bool {
+	larger := max(d.WorthPerSecond, other.WorthPerSecond)
+	diff := math.Abs(d.WorthPerSecond - other.WorthPerSecond)
+	return d.Copies == other.Copies && d.Pressed == other.Pressed && (larger < negligibleRate || diff <= demandTolerance*larger)
 }
 
 // DemandCache is an agent's copy of the demand. It is not safe for concurrent use.
 type DemandCache struct {
 	epoch   uint64
 	version uint64
-	entries map[string]cached
+	entries map[string]cacheEntry
 }
 
-type cached struct {
+type cacheEntry struct {
 	demand Demand
 	at     time.Time
 }
 
-// DemandUpdate is what a leader's feed sends.
+// DemandUpdate is a reply from the leader's DemandFeed.
 type DemandUpdate struct {
-	Epoch   uint64 // of the leader's table
-	Version uint64
-	Whole   bool
+	Epoch   uint64 // term of the leader that sent it
+	Version uint64 // of the leader's feed
+	Whole   bool   // Changed has all entries; others are dropped
 	Changed []Demand
 }
 
 // NewDemandCache returns an empty cache.
-func NewDemandCache() *DemandCache { return &DemandCache{entries: map[string]cached{}} }
+func NewDemandCache() *DemandCache { return &DemandCache{entries: map[string]cacheEntry{}} }
 
-// Position returns the newest update that the cache has.
+// Position returns the epoch and version of the last applied update, to request the next.
 func (c *DemandCache) Position() (epoch, version uint64) { return c.epoch, c.version }
 
 // Take applies an update.
@@ -138,15 +139,16 @@
 		clear(c.entries)
 	}
 	for _, d := range u.Changed {
-		c.entries[d.Model] = cached{d, now}
+		c.entries[d.Model] = cacheEntry{d, now}
 	}
 	c.epoch, c.version = u.Epoch, u.Version
 }
 
-// Current returns the demand at a time, in order of name.
+// Current returns the demand decayed to now, ordered by model name. It removes models that
+// are neither held nor requested.
 func (c *DemandCache) Current(now time.Time) []Demand {
-	maps.DeleteFunc(c.entries, func(_ string, e cached) bool {
-		return e.demand.Copies == 0 && e.demand.decayed(now.Sub(e.at)).WorthPerSecond < forgotten
+	maps.DeleteFunc(c.entries, func(_ string, e cacheEntry) bool {
+		return e.demand.Copies == 0 && e.demand.decayed(now.Sub(e.at)).WorthPerSecond < minRate
 	})
 	out := make([]Demand, 0, len(c.entries))
 	for _, e := range c.entries { // any order: sorted below
--- a/coord/standings/pace.go
+++ b/coord/standings/pace.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Load pattern: every entry host asks the control leader for the rows that changed, and
-// with many targets nearly all have changed since it asked last: what the leader sends
-// grows with hosts times targets.
-//
-// Hosts poll less often the more of them there are. The load of a target in use comes with its
-// own answers; that of the others may be older.
+// Load pattern: every entry host polls the control leader for changed rows, and with many
+// targets nearly all rows have changed since its last poll.
+// Without it: the leader's traffic grows with the number of hosts times that of targets.
+// Rule: hosts poll less often the more of them there are; a target in use returns its current
+// load with each response, and the load of the others may be older.
 
 const (
-	// askEvery is the least time between two questions of one host. Each change of any
-	// target's load is new, so that without it the leader would be asked without end.
-	askEvery = 200 * time.Millisecond
-	// askFreely is up to how many hosts ask as often as that: 200 questions a second
-	// together, a tenth of a small host's processor.
-	askFreely = 40
-	// askRarest keeps what is known of targets well below the age at which it is taken
-	// for nothing.
-	askRarest = ReportLife / 2
+	// minPollInterval is the shortest interval between polls of one host. Each load change of
+	// any target completes a pending poll, so without it hosts would poll continuously.
+	minPollInterval = 200 * time.Millisecond
+	// unthrottledHosts is the number of hosts up to which each uses minPollInterval: 200 polls
+	// a second in total, 10 % of a small host's CPU.
+	unthrottledHosts = 40
+	// maxPollInterval keeps the age of a host's copy well below ReportTTL, after which a
+	// report no longer counts.
+	maxPollInterval = ReportTTL / 2
 )
 
-// AskEvery returns the time between two questions of one of so many entry hosts.
+// AskEvery returns the interval between the polls of one entry host, given the number of
+// entry hosts.
 func AskEvery(hosts int) time.Duration {
-	return min(askRarest, askEvery*time.Duration(max(hosts, askFreely))/askFreely)
+	return min(maxPollInterval, minPollInterval*time.Duration(max(hosts, unthrottledHosts))/unthrottledHosts)
 }
--- a/coord/standings/standings_test.go
+++ b/coord/standings/standings_test.go
@@ -51,7 +51,7 @@
 		t.SetList([]standings.Standing{listed("i-1", "10.0.0.1:1")}, now)
 		t.Report(standings.Standing{Service: "s", Address: "10.0.0.1:1"}, false, now)
 		Expect(instances(t)).To(BeEmpty())
-		t.Expire(now.Add(standings.AbsenceLife + time.Second))
+		t.Expire(now.Add(standings.DownReportTTL + time.Second))
 		Expect(instances(t)).To(Equal([]string{"i-1"}))
 	})
 
@@ -90,7 +90,7 @@
 		r := listed("i-1", "10.0.0.1:1")
 		r.Running = 5
 		t.Report(r, true, now)
-		t.Expire(now.Add(standings.ReportLife + time.Millisecond))
+		t.Expire(now.Add(standings.ReportTTL + time.Millisecond))
 		Expect(t.All()[0]).To(HaveField("Running", 0))
 	})
 
@@ -142,7 +142,7 @@
 		for hosts := 40; hosts <= 200; hosts += 10 {
 			Expect(float64(hosts) / standings.AskEvery(hosts).Seconds()).To(BeNumerically("<=", 201))
 		}
-		Expect(standings.AskEvery(100_000)).To(BeNumerically("<", standings.ReportLife))
+		Expect(standings.AskEvery(100_000)).To(BeNumerically("<", standings.ReportTTL))
 	})
 })
 
--- a/coord/standings/table.go
+++ b/coord/standings/table.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Held is a model that a target holds, with its adapters.
+// Held is a model that a target holds ready to serve, with its loaded adapters.
 type Held struct {
 	Name     string
 	Adapters []string
@@ -20,159 +20,159 @@
 	Service       string
 	Address       string // IP:port
 	FailureDomain string
-	Slots         int
+	Slots         int // requests that the target runs at once
 	Draining      bool
-	BornUnixMs    int64
+	BornUnixMs    int64 // start time, in milliseconds since the Unix epoch
 	Models        []Held
 
-	// Only an agent reports these.
-	Reported bool
-	Agent    string   // IP:port of the agent; empty: none known
-	AtHand   []string // models of which the target has a copy in memory or on disk
+	// The fields below are set by agents' reports only.
+	Reported bool     // the row comes from an agent's report
+	Agent    string   // IP:port of the agent; empty if none is known
+	AtHand   []string // models of which the target has a local copy, in memory or on disk
 	Load
 
-	Version            uint64 // of the table at the last change
-	DescriptionVersion uint64 // the same, of anything but Load
+	Version            uint64 // of the table at the row's last change
+	DescriptionVersion uint64 // of the table at the last change of any field but Load
 }
 
 // Load is the part of a target's status that changes with nearly every report.
 type Load struct {
-	Running  int
-	Queued   int
-	Loading  string        // model of the load under way
-	LoadWait time.Duration // until another load could begin there
-	Awaited  []string      // models that requests wait for, and that are not loading yet
+	Running  int           // requests being processed
+	Queued   int           // requests waiting at the target
+	Loading  string        // model that is being loaded; empty if none
+	LoadWait time.Duration // until the target could begin another load
+	Awaited  []string      // models that requests wait for and whose load has not begun
 }
 
-// LoadUpdate is a new load of a target whose description the holder has.
+// LoadUpdate is the new load of a target whose other fields the receiver already has.
 type LoadUpdate struct {
 	Instance string
 	Version  uint64
 	Load
 }
 
-// DescribedBy reports whether a holder of a version of the table has all of the status but
-// its load.
+// DescribedBy reports whether a client at a version of the table has the current value of all
+// fields but Load.
 func (s *Standing) DescribedBy(version uint64) bool { return s.DescriptionVersion <= version }
 
-// Pressed reports whether a target has more work than it runs at once, or nearly.
+// Pressed reports whether a target is saturated: requests are queued, or at least
+// saturationThreshold of its slots are in use.
 func Pressed(running, queued, slots int) bool {
-	return queued > 0 || float64(running) >= pressedShare*float64(max(1, slots))
+	return queued > 0 || float64(running) >= saturationThreshold*float64(max(1, slots))
 }
 
-// pressedShare of its slots in use leaves no room for the swings within one interval
-// of reports.
-const pressedShare = 0.8
+// saturationThreshold is the share of slots in use from which the free ones cannot absorb the
+// variation of load between two reports.
+const saturationThreshold = 0.8
 
-// Pressed reports whether the target has more work than it runs at once, or nearly.
+// Pressed reports whether the target is saturated according to its agent's report.
 func (s *Standing) Pressed() bool { return s.Reported && Pressed(s.Running, s.Queued, s.Slots) }
 
-// Times of the table.
+// Lifetimes of agents' reports.
 const (
-	// ReportLife is how long an agent's report counts. After it the target's entry of the
-	// list is used: the agent may be down while its target serves.
-	ReportLife = 2 * time.Second
-	// AbsenceLife is how long a target that an agent found dead is kept off the
-	// table although the list shows it: the list takes some seconds to follow.
-	AbsenceLife = 6 * time.Second
+	// ReportTTL is how long a report of a target that answers its agent is valid. Afterwards
+	// the target's list entry is used: the agent may be down while its target serves.
+	ReportTTL = 2 * time.Second
+	// DownReportTTL is how long a target that does not answer its agent is left out of the
+	// table although the platform lists it: the list lags by several seconds.
+	DownReportTTL = 6 * time.Second
 )
 
-// Table joins list and reports. It is not safe for concurrent use.
+// Table merges the platform's list with agents' reports. It is not safe for concurrent use.
 //
-// Load pattern: every agent reports several times a second, and every entry host asks
-// as often for what is new. Joined anew at each report, and looked through at each
-// question, three thousand targets took a control leader's whole processor and its
-// callers were not answered. So a report touches the rows at its own address only, the
-// whole is joined a few times a second for what changes by age, and changes are kept in
-// their order.
+// Load pattern: agents report, and entry hosts poll for changes, several times a second.
+// Without it: rebuilding the table at each report and scanning it at each poll used all of a
+// control leader's CPU with 3000 targets, and its callers got no replies.
+// Rule: a report updates the rows at its own address, changes are kept in order, and the whole
+// table is rebuilt a few times a second, for reports that expire.
 //
-// Load pattern: 70 entry hosts poll for the status of 125 targets, whose load changes with
-// every report and whose models change rarely.
-// Without it: a status with all model names goes out for each change of load; the leader's
-// link is saturated, and replies to other calls queue behind it for 100 ms.
-// Rule: a holder that has a target's description is sent its load only.
+// Load pattern: 70 entry hosts poll for 125 targets, whose load changes with every report.
+// Without it: each change of load sends a status with all model names, which rarely change; the
+// leader's link is saturated, and replies to other calls queue behind it for 100 ms.
+// Rule: a client that has a target's other fields is sent its load only.
 type Table struct {
-	version  uint64
-	rows     map[string]*Standing // by instance
-	at       map[string][]string  // instances of rows, by address
-	listed   map[string]Standing  // by instance, as last read
-	listedIn map[string][]string  // instances of listed, by address
-	listedAt time.Time
-	joinedAt time.Time         // when the whole was last joined
-	reports  map[string]report // by address of the target
-	heard    uint64            // reports so far
-	changes  []mark            // oldest first; only the newest of a row counts
-	gone     []mark            // oldest first
+	version         uint64
+	rows            map[string]*Standing // by instance
+	byAddress       map[string][]string  // instances of rows, by address
+	listed          map[string]Standing  // by instance, as last read
+	listedByAddress map[string][]string  // instances of listed, by address
+	listedAt        time.Time
+	rebuiltAt       time.Time         // when the whole table was last rebuilt
+	reports         map[string]report // by address of the target
+	reportCount     uint64            // reports received
+	changes         []changeRecord    // oldest first; only the latest record of a row is valid
+	removed         []changeRecord    // oldest first
 }
 
 type report struct {
 	standing Standing
 	at       time.Time
-	alive    bool
-	number   uint64 // grows with each report
+	alive    bool   // the target answers its agent
+	sequence uint64 // order of receipt
 }
 
-// mark is an instance at a version of the table.
-type mark struct {
+// changeRecord records that an instance's row changed, or was removed, at a table version.
+type changeRecord struct {
 	instance string
 	version  uint64
 }
 
-// joinEvery is how often the whole is joined at least while reports come: a quarter of
-// the time for which a report counts.
-const joinEvery = ReportLife / 4
+// rebuildInterval is the longest interval between rebuilds of the whole table while reports
+// arrive, which bounds how long an expired report stays in use.
+const rebuildInterval = ReportTTL / 4
 
-// maxDepartures bounds what is kept for holders that lag; one that lags further
-// gets the whole table.
-const maxDepartures = 256
+// maxRemovals limits the removals that are kept for clients with an old version; a client that
+// is further behind gets the whole table.
+const maxRemovals = 256
 
-// NewTable returns an empty table. First is the version it starts from: a holder of
-// another table's version must not take this one's for its own.
-func NewTable(first uint64) *Table {
+// NewTable returns an empty table at firstVersion. A client must not use a version of another
+// table, such as a former leader's, with this one.
+func NewTable(firstVersion uint64) *Table {
 	return &Table{
-		version: first, rows: map[string]*Standing{}, at: map[string][]string{},
-		listed: map[string]Standing{}, listedIn: map[string][]string{}, reports: map[string]report{},
+		version: firstVersion, rows: map[string]*Standing{}, byAddress: map[string][]string{},
+		listed: map[string]Standing{}, listedByAddress: map[string][]string{}, reports: map[string]report{},
 	}
 }
 
-// SetList takes the platform's list as read at a time.
+// SetList replaces the platform's list with the one read at now.
 func (t *Table) SetList(list []Standing, now time.Time) {
 	t.listed = make(map[string]Standing, len(list))
-	t.listedIn = make(map[string][]string, len(list))
+	t.listedByAddress = make(map[string][]string, len(list))
 	for _, s := range list {
 		t.listed[s.Instance] = s
-		t.listedIn[s.Address] = append(t.listedIn[s.Address], s.Instance)
+		t.listedByAddress[s.Address] = append(t.listedByAddress[s.Address], s.Instance)
 	}
 	t.listedAt = now
-	t.join(now)
+	t.rebuild(now)
 }
 
-// Report takes an agent's report on the target at an address. Alive false: it does
-// not answer its agent.
+// Report records an agent's report on the target at s.Address. Alive is false if the target
+// does not answer its agent.
 func (t *Table) Report(s Standing, alive bool, now time.Time) {
-	before, known := t.reports[s.Address]
-	t.heard++
-	t.reports[s.Address] = report{standing: s, at: now, alive: alive, number: t.heard}
+	previous, known := t.reports[s.Address]
+	t.reportCount++
+	t.reports[s.Address] = report{standing: s, at: now, alive: alive, sequence: t.reportCount}
 	row := t.rows[s.Instance]
-	moved := known && before.standing.Instance != s.Instance || row != nil && row.Address != s.Address
-	// A target that has moved, or is gone where it was, can leave a row to another address.
-	if moved || known && before.alive != alive || now.Sub(t.joinedAt) >= joinEvery {
-		t.join(now)
+	moved := known && previous.standing.Instance != s.Instance || row != nil && row.Address != s.Address
+	// If a target moved, or one stopped or resumed answering, the rows at another address can
+	// change too.
+	if moved || known && previous.alive != alive || now.Sub(t.rebuiltAt) >= rebuildInterval {
+		t.rebuild(now)
 		return
 	}
-	t.joinAt(s.Address, now)
+	t.rebuildAddress(s.Address, now)
 }
 
-// Expire drops reports whose time is over.
-func (t *Table) Expire(now time.Time) { t.join(now) }
+// Expire drops expired reports and rebuilds the table.
+func (t *Table) Expire(now time.Time) { t.rebuild(now) }
 
-// ListedAt is when the list was last read; zero before the first time.
+// ListedAt returns when the list was last read, or the zero time if it never was.
 func (t *Table) ListedAt() time.Time { return t.listedAt }
 
-// Version grows with each change.
+// Version returns the version of the last change; it only increases.
 func (t *Table) Version() uint64 { return t.version }
 
-// All returns all standings in order of instance. Nobody may change them.
+// All returns the status of all targets in order of instance. The rows are read-only.
 func (t *Table) All() []*Standing {
 	out := make([]*Standing, 0, len(t.rows))
 	for _, id := range slices.Sorted(maps.Keys(t.rows)) {
@@ -181,147 +181,149 @@
 	return out
 }
 
-// Since returns what changed after a version. Whole says that it is the entire table.
+// Since returns the rows that changed and the instances that were removed after a version.
+// Whole reports that changed is the entire table and replaces what the client has.
 func (t *Table) Since(version uint64) (changed []*Standing, gone []string, whole bool) {
 	whole = version == 0 || version > t.version ||
-		len(t.gone) == maxDepartures && t.gone[0].version > version
+		len(t.removed) == maxRemovals && t.removed[0].version > version
 	if whole {
 		return t.All(), nil, true
 	}
 	for i := len(t.changes) - 1; i >= 0 && t.changes[i].version > version; i-- {
-		if t.current(t.changes[i]) {
+		if t.isLatest(t.changes[i]) {
 			changed = append(changed, t.rows[t.changes[i].instance])
 		}
 	}
 	slices.SortFunc(changed, func(a, b *Standing) int { return strings.Compare(a.Instance, b.Instance) })
-	for _, d := range t.gone {
-		if d.version > version {
-			gone = append(gone, d.instance)
+	for _, r := range t.removed {
+		if r.version > version {
+			gone = append(gone, r.instance)
 		}
 	}
 	return changed, gone, false
 }
 
-// current reports whether a change is the newest of a row that still exists.
-func (t *Table) current(m mark) bool {
-	row := t.rows[m.instance]
-	return row != nil && row.Version == m.version
+// isLatest reports whether a change is the latest of a row that still exists.
+func (t *Table) isLatest(c changeRecord) bool {
+	row := t.rows[c.instance]
+	return row != nil && row.Version == c.version
 }
 
-// join derives all rows anew and marks what changed.
-func (t *Table) join(now time.Time) {
-	t.joinedAt = now
-	t.replace(slices.Collect(maps.Keys(t.rows)), t.derive(now))
-	t.at = make(map[string][]string, len(t.rows))
-	for id, s := range t.rows { // any order: the order within an address means nothing
-		t.at[s.Address] = append(t.at[s.Address], id)
+// rebuild recomputes all rows and records the changes.
+func (t *Table) rebuild(now time.Time) {
+	t.rebuiltAt = now
+	t.replaceRows(slices.Collect(maps.Keys(t.rows)), t.buildRows(now))
+	t.byAddress = make(map[string][]string, len(t.rows))
+	for id, s := range t.rows { // any order: instances of an address are not ordered
+		t.byAddress[s.Address] = append(t.byAddress[s.Address], id)
 	}
 }
 
-// joinAt derives the rows at one address anew and marks what changed.
-func (t *Table) joinAt(address string, now time.Time) {
+// rebuildAddress recomputes the rows at one address and records the changes.
+func (t *Table) rebuildAddress(address string, now time.Time) {
 	fresh := map[string]Standing{}
-	for _, id := range t.listedIn[address] {
-		if s := t.listed[id]; !t.denied(s, now) {
+	for _, id := range t.listedByAddress[address] {
+		if s := t.listed[id]; !t.contradicted(s, now) {
 			fresh[id] = s
 		}
 	}
-	t.reported(address, now, fresh)
-	t.replace(slices.DeleteFunc(t.at[address], func(id string) bool { return t.rows[id].Address != address }), fresh)
-	t.at[address] = slices.Collect(maps.Keys(fresh))
+	t.addReported(address, now, fresh)
+	t.replaceRows(slices.DeleteFunc(t.byAddress[address], func(id string) bool { return t.rows[id].Address != address }), fresh)
+	t.byAddress[address] = slices.Collect(maps.Keys(fresh))
 }
 
-// replace puts rows in the place of others.
-func (t *Table) replace(old []string, fresh map[string]Standing) {
+// replaceRows replaces the rows of the old instances by fresh, and records what changed.
+func (t *Table) replaceRows(old []string, fresh map[string]Standing) {
 	changed := false
 	for _, id := range old {
-		if _, stays := fresh[id]; !stays {
+		if _, kept := fresh[id]; !kept {
 			delete(t.rows, id)
-			t.depart(id)
+			t.recordRemoval(id)
 			changed = true
 		}
 	}
 	for id, s := range fresh {
-		before := t.rows[id]
-		described := before != nil && sameDescription(before, &s)
-		if !described || !sameLoad(before.Load, s.Load) {
+		previous := t.rows[id]
+		onlyLoad := previous != nil && sameDescription(previous, &s)
+		if !onlyLoad || !sameLoad(previous.Load, s.Load) {
 			s.Version = t.version + 1
 			s.DescriptionVersion = s.Version
-			if described {
-				s.DescriptionVersion = before.DescriptionVersion
+			if onlyLoad {
+				s.DescriptionVersion = previous.DescriptionVersion
 			}
 			t.rows[id] = &s
-			t.changes = append(t.changes, mark{id, s.Version})
+			t.changes = append(t.changes, changeRecord{id, s.Version})
 			changed = true
 		}
 	}
 	if changed {
 		t.version++
 	}
-	if len(t.changes) > maxStale*(len(t.rows)+1) {
-		t.changes = slices.DeleteFunc(t.changes, func(m mark) bool { return !t.current(m) })
+	if len(t.changes) > maxChangesPerRow*(len(t.rows)+1) {
+		t.changes = slices.DeleteFunc(t.changes, func(c changeRecord) bool { return !t.isLatest(c) })
 	}
 }
 
-// maxStale times as many changes as rows are kept before those that a newer one has
-// overtaken are dropped.
-const maxStale = 4
+// maxChangesPerRow is the number of change records per row, on average, from which superseded
+// records are dropped.
+const maxChangesPerRow = 4
 
-func (t *Table) depart(instance string) {
-	t.gone = append(t.gone, mark{instance, t.version + 1})
-	if len(t.gone) > maxDepartures {
-		t.gone = slices.Clone(t.gone[len(t.gone)-maxDepartures:])
+func (t *Table) recordRemoval(instance string) {
+	t.removed = append(t.removed, changeRecord{instance, t.version + 1})
+	if len(t.removed) > maxRemovals {
+		t.removed = slices.Clone(t.removed[len(t.removed)-maxRemovals:])
 	}
 }
 
-func (t *Table) derive(now time.Time) map[string]Standing {
+func (t *Table) buildRows(now time.Time) map[string]Standing {
 	out := make(map[string]Standing, len(t.listed))
 	for id, s := range t.listed {
-		if !t.denied(s, now) {
+		if !t.contradicted(s, now) {
 			out[id] = s
 		}
 	}
-	// Where two agents report one target, as when it has moved, the newer report counts.
-	byAge := slices.SortedFunc(maps.Keys(t.reports), func(a, b string) int {
-		return cmp.Compare(t.reports[a].number, t.reports[b].number)
+	// If two agents report the same instance, as after it moved, the later report wins.
+	oldestFirst := slices.SortedFunc(maps.Keys(t.reports), func(a, b string) int {
+		return cmp.Compare(t.reports[a].sequence, t.reports[b].sequence)
 	})
-	for _, address := range byAge {
-		t.reported(address, now, out)
+	for _, address := range oldestFirst {
+		t.addReported(address, now, out)
 	}
 	return out
 }
 
-// reported adds the row that the report of an address tells, if it still counts.
-func (t *Table) reported(address string, now time.Time, out map[string]Standing) {
+// addReported adds the row of the report at an address if it is valid, and drops it if it is
+// older than DownReportTTL.
+func (t *Table) addReported(address string, now time.Time, out map[string]Standing) {
 	r, known := t.reports[address]
 	switch {
 	case !known:
-	case now.Sub(r.at) > AbsenceLife:
+	case now.Sub(r.at) > DownReportTTL:
 		delete(t.reports, address)
-	case r.alive && now.Sub(r.at) <= ReportLife && r.standing.Instance != "":
+	case r.alive && now.Sub(r.at) <= ReportTTL && r.standing.Instance != "":
 		out[r.standing.Instance] = t.merge(r.standing)
 	}
 }
 
-// denied reports whether the agent at a listed target's address contradicts the list.
-func (t *Table) denied(s Standing, now time.Time) bool {
+// contradicted reports whether a report at a listed target's address contradicts the list.
+func (t *Table) contradicted(s Standing, now time.Time) bool {
 	r, known := t.reports[s.Address]
-	return known && t.denies(r, s, now)
+	return known && t.contradicts(r, s, now)
 }
 
-// denies reports whether a report contradicts the list on a target's existence:
-// it does not answer, or another one answers at its address.
-func (t *Table) denies(r report, s Standing, now time.Time) bool {
+// contradicts reports whether a valid report shows that a listed target does not exist: the
+// target does not answer, or another instance answers at its address.
+func (t *Table) contradicts(r report, s Standing, now time.Time) bool {
 	if s.Service != r.standing.Service {
-		return false // the address is another service's by now
+		return false // the address was reassigned to another service
 	}
 	if !r.alive {
-		return now.Sub(r.at) <= AbsenceLife
+		return now.Sub(r.at) <= DownReportTTL
 	}
-	return r.standing.Instance != s.Instance && now.Sub(r.at) <= ReportLife
+	return r.standing.Instance != s.Instance && now.Sub(r.at) <= ReportTTL
 }
 
-// merge adds to a report what only the list says.
+// merge adds the list's Draining and Slots to a report.
 func (t *Table) merge(s Standing) Standing {
 	s.Reported = true
 	listed, ok := t.listed[s.Instance]
--- a/coord/standings/use.go
+++ b/coord/standings/use.go
@@ -7,14 +7,16 @@
 	"time"
 )
 
-// Use is the demand for each model over the fleet, as worth a second that ages.
+// Use measures the fleet's demand for each model as an exponentially decaying rate, in requests
+// a second weighted by priority rank. It is not safe for concurrent use.
 //
-// Load pattern: a few models take most requests, many take few, and which ones
-// changes during the day. Agents that see only their own target would drop the
-// last copy of a model that other entry hosts' callers ask for.
+// Load pattern: a few models get most requests, and which ones changes during the day.
+// Without it: agents see only their own target and unload the last copy of a model that callers
+// of other entry hosts request.
+// Rule: the leader sums the demand over all entry hosts, and agents decide by that.
 type Use struct {
-	began time.Time
-	rates map[string]*rate
+	startedAt time.Time
+	rates     map[string]*rate
 }
 
 type rate struct {
@@ -22,56 +24,55 @@
 	at        time.Time
 }
 
-// useMemory is the time over which demand is averaged: as long as a load from the
-// store takes, so that a model which has just become busy is seen before its next
-// copy could be there.
-const useMemory = 6 * time.Second
+// demandTimeConstant is the time constant of the decay. It equals the duration of a load from
+// the weight store, so that a rise in demand is visible before another copy could be loaded.
+const demandTimeConstant = 6 * time.Second
 
-// forgotten is the rate below which a model is as good as not asked for.
-const forgotten = 1e-4
+// minRate is the rate per second below which a model counts as not requested.
+const minRate = 1e-4
 
 // NewUse returns a record without demand that is complete from now on.
-func NewUse(now time.Time) *Use { return &Use{began: now, rates: map[string]*rate{}} }
+func NewUse(now time.Time) *Use { return &Use{startedAt: now, rates: map[string]*rate{}} }
 
-// age is for how long demand has been recorded.
-func (u *Use) age(now time.Time) time.Duration { return now.Sub(u.began) }
+// age returns for how long demand has been recorded.
+func (u *Use) age(now time.Time) time.Duration { return now.Sub(u.startedAt) }
 
-// Add notes worth that was asked for.
+// Add records requests for a model; worth is their number, weighted by priority rank.
 func (u *Use) Add(model string, worth float64, now time.Time) {
 	r := u.rates[model]
 	if r == nil {
 		r = &rate{at: now}
 		u.rates[model] = r
 	}
-	r.age(now)
-	r.perSecond += worth / useMemory.Seconds()
+	r.decay(now)
+	r.perSecond += worth / demandTimeConstant.Seconds()
 }
 
-func (r *rate) age(now time.Time) {
+func (r *rate) decay(now time.Time) {
 	if elapsed := now.Sub(r.at); elapsed > 0 {
-		r.perSecond *= math.Exp(-elapsed.Seconds() / useMemory.Seconds())
+		r.perSecond *= math.Exp(-elapsed.Seconds() / demandTimeConstant.Seconds())
 		r.at = now
 	}
 }
 
-// PerSecond returns the worth a second that is asked of a model. An average that is
-// younger than its memory has seen only a part of it, and is scaled up by that part:
-// a board that has just begun would else take every model for rarely used.
+// PerSecond returns the demand for a model, in weighted requests a second. While the record is
+// young relative to demandTimeConstant, the average is scaled up by the share of the window
+// that it covers; otherwise a new leader would consider every model rarely used.
 func (u *Use) PerSecond(model string, now time.Time) float64 {
 	r := u.rates[model]
 	if r == nil {
 		return 0
 	}
-	r.age(now)
-	seen := max(u.age(now), demandKnownAfter)
-	return r.perSecond / (1 - math.Exp(-seen.Seconds()/useMemory.Seconds()))
+	r.decay(now)
+	observed := max(u.age(now), demandWarmUp)
+	return r.perSecond / (1 - math.Exp(-observed.Seconds()/demandTimeConstant.Seconds()))
 }
 
-// Models returns the models that are asked for, in order of name.
+// Models returns the models with demand, ordered by name.
 func (u *Use) Models(now time.Time) []string {
 	maps.DeleteFunc(u.rates, func(_ string, r *rate) bool {
-		r.age(now)
-		return r.perSecond < forgotten
+		r.decay(now)
+		return r.perSecond < minRate
 	})
 	return slices.Sorted(maps.Keys(u.rates))
 }
