--- a/coord/standings/feed_test.go
+++ b/coord/standings/feed_test.go
@@ -12,8 +12,8 @@
 	"cowsliptiller/coord/standings"
 )
 
-// Guards against an agent whose demand drifts from the leader's, also after lost replies,
-// new leaders, and models that come and go.
+// Guards against an agent's demand deviating from the leader's by more than the tolerance, also
+// after lost replies, leader changes, and models that gain and lose their demand.
 func TestADemandCacheFollowsTheFeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		feed, epoch, at := standings.NewDemandFeed(), uint64(1), now
@@ -28,7 +28,7 @@
 		publish := func() {
 			var sum []standings.Demand
 			for i := range 6 {
-				if d, asked := demand[fmt.Sprint("m-", i)]; asked {
+				if d, ok := demand[fmt.Sprint("m-", i)]; ok {
 					sum = append(sum, d)
 				}
 			}
@@ -57,8 +57,8 @@
 			},
 			"reply": func(t *rapid.T) {
 				publish()
-				of, since := cache.Position()
-				if of != epoch {
+				cachedEpoch, since := cache.Position()
+				if cachedEpoch != epoch {
 					since = 0
 				}
 				changed, whole := feed.Since(since, at)
@@ -69,10 +69,10 @@
 				}
 				for i := range 6 {
 					model := fmt.Sprint("m-", i)
-					has, want := got[model], demand[model]
-					off := math.Abs(has.WorthPerSecond - want.WorthPerSecond)
-					if has.Copies != want.Copies || has.Pressed != want.Pressed || off > 0.21*want.WorthPerSecond+0.001 {
-						t.Fatalf("the agent has %+v of %+v", has, want)
+					have, want := got[model], demand[model]
+					diff := math.Abs(have.WorthPerSecond - want.WorthPerSecond)
+					if have.Copies != want.Copies || have.Pressed != want.Pressed || diff > 0.21*want.WorthPerSecond+0.001 {
+						t.Fatalf("agent's demand: got %+v, want %+v", have, want)
 					}
 				}
 			},
@@ -80,7 +80,7 @@
 	})
 }
 
-// Guards against sending each agent the demand for all models with every report.
+// Guards against sending each agent the demand for all models in every reply.
 func TestOnlyChangedDemandIsSent(t *testing.T) {
 	g := NewWithT(t)
 	feed, at := standings.NewDemandFeed(), now
--- a/coord/standings/standings_test.go
+++ b/coord/standings/standings_test.go
@@ -30,8 +30,8 @@
 	return out
 }
 
-var _ = Describe("the table of standings", func() {
-	It("joins the list with what an agent says", func() {
+var _ = Describe("the status table", func() {
+	It("merges the list with an agent's report", func() {
 		t := standings.NewTable(1)
 		t.SetList([]standings.Standing{listed("i-1", "10.0.0.1:1"), listed("i-2", "10.0.0.2:1")}, now)
 		r := listed("i-1", "10.0.0.1:1")
@@ -44,9 +44,8 @@
 		Expect(t.All()[1].Reported).To(BeFalse())
 	})
 
-	// A target crashes. The list shows it for seconds, and every entry host sends
-	// requests there until each has found out by itself.
-	It("keeps a target off that its agent finds dead though the list shows it", func() {
+	// Guards against routing to a crashed target, which the list contains for some seconds.
+	It("omits a listed target that does not answer its agent", func() {
 		t := standings.NewTable(1)
 		t.SetList([]standings.Standing{listed("i-1", "10.0.0.1:1")}, now)
 		t.Report(standings.Standing{Service: "s", Address: "10.0.0.1:1"}, false, now)
@@ -55,18 +54,18 @@
 		Expect(instances(t)).To(Equal([]string{"i-1"}))
 	})
 
-	// A target restarts under its address with a new id; the list still has the old
-	// one, whose requests the new one refuses.
-	It("replaces the listed target by the one that answers its agent", func() {
+	// Guards against routing by the old instance id after a restart at the same address: the new
+	// instance rejects such requests.
+	It("replaces the listed instance by the one that answers at its address", func() {
 		t := standings.NewTable(1)
 		t.SetList([]standings.Standing{listed("i-1", "10.0.0.1:1")}, now)
 		t.Report(listed("i-9", "10.0.0.1:1"), true, now)
 		Expect(instances(t)).To(Equal([]string{"i-9"}))
 	})
 
-	// A target's address is given to another service's target while its old agent,
-	// which finds nothing there any more, still says that it is dead.
-	It("does not let an agent of one service deny another service's target", func() {
+	// Guards against losing a target whose address was reassigned from another service, while
+	// that service's agent still reports the old target as down.
+	It("ignores a report of another service's agent on a listed target", func() {
 		t := standings.NewTable(1)
 		other := listed("i-5", "10.0.0.1:1")
 		other.Service = "other"
@@ -75,7 +74,7 @@
 		Expect(instances(t)).To(Equal([]string{"i-5"}))
 	})
 
-	It("says that a target leaves if either the list or its agent says so", func() {
+	It("marks a target as draining if either the list or its agent does", func() {
 		t := standings.NewTable(1)
 		s := listed("i-1", "10.0.0.1:1")
 		s.Draining = true
@@ -84,7 +83,7 @@
 		Expect(t.All()[0].Draining).To(BeTrue())
 	})
 
-	It("goes back to the list when an agent falls silent", func() {
+	It("uses the list entry when the agent's report has expired", func() {
 		t := standings.NewTable(1)
 		t.SetList([]standings.Standing{listed("i-1", "10.0.0.1:1")}, now)
 		r := listed("i-1", "10.0.0.1:1")
@@ -94,20 +93,20 @@
 		Expect(t.All()[0]).To(HaveField("Running", 0))
 	})
 
-	It("tells a holder of any version what brings it up to date", func() {
+	It("returns to a client of any version the changes since then", func() {
 		t := standings.NewTable(1)
-		held := map[string]standings.Standing{}
+		clientRows := map[string]standings.Standing{}
 		version := uint64(0)
 		catchUp := func() {
 			changed, gone, whole := t.Since(version)
 			if whole {
-				clear(held)
+				clear(clientRows)
 			}
 			for _, id := range gone {
-				delete(held, id)
+				delete(clientRows, id)
 			}
 			for _, s := range changed {
-				held[s.Instance] = *s
+				clientRows[s.Instance] = *s
 			}
 			version = t.Version()
 		}
@@ -125,18 +124,17 @@
 				continue
 			}
 			catchUp()
-			Expect(held).To(HaveLen(len(list)))
+			Expect(clientRows).To(HaveLen(len(list)))
 			for _, s := range t.All() {
-				Expect(held[s.Instance]).To(Equal(*s))
+				Expect(clientRows[s.Instance]).To(Equal(*s))
 			}
 		}
 	})
 })
 
-// A fleet has grown to hundreds of entry hosts and thousands of targets; the control
-// leader's processor is used up by answers to them, and its own callers are not served.
-var _ = Describe("the pace of questions", func() {
-	It("keeps the leader's answers a second bounded while hosts are added", func() {
+// Guards against the polls of hundreds of entry hosts using all of the control leader's CPU.
+var _ = Describe("the poll interval", func() {
+	It("bounds the leader's replies a second as hosts are added", func() {
 		Expect(standings.AskEvery(1)).To(Equal(200 * time.Millisecond))
 		Expect(standings.AskEvery(28)).To(Equal(200 * time.Millisecond))
 		for hosts := 40; hosts <= 200; hosts += 10 {
@@ -147,7 +145,7 @@
 })
 
 var _ = Describe("the demand for models", func() {
-	It("is the worth a second, and ages", func() {
+	It("is the weighted request rate and decays", func() {
 		u := standings.NewUse(now)
 		for i := range 300 {
 			u.Add("m", 2, now.Add(time.Duration(i)*100*time.Millisecond))
@@ -158,10 +156,9 @@
 		Expect(u.Models(at.Add(10 * time.Minute))).To(BeEmpty())
 	})
 
-	// The control leader is lost in a busy moment. Its successor has heard of no
-	// request yet and says that nothing is asked for; the agents drop the busiest
-	// model for a rare one, and its callers are refused until it is loaded again.
-	It("is not told before it is known, and near the truth then", func() {
+	// Guards against a new control leader that publishes no demand because it has no record yet:
+	// agents then unload the busiest model, and its callers are refused until it is reloaded.
+	It("is unknown at first, and close to the actual rate from then on", func() {
 		table, u := standings.NewTable(1), standings.NewUse(now)
 		s := listed("i-1", "10.0.0.1:1")
 		s.Models, s.Slots, s.Running = []standings.Held{{Name: "busy"}}, 4, 4
@@ -181,15 +178,15 @@
 	})
 })
 
-var _ = Describe("the homes of a model", func() {
-	It("are the same whoever asks, and spread the models", func() {
+var _ = Describe("the load order of targets", func() {
+	It("does not depend on the order of the input, and spreads the models", func() {
 		count := map[string]int{}
 		for m := range 600 {
 			model := fmt.Sprint("m", m)
-			list := fleet(12)
-			first := standings.Homes(list, asked(model))[0].Instance
+			list := idleTargets(12)
+			first := standings.Homes(list, modelToLoad(model))[0].Instance
 			list[0], list[7] = list[7], list[0]
-			Expect(standings.Homes(list, asked(model))[0].Instance).To(Equal(first))
+			Expect(standings.Homes(list, modelToLoad(model))[0].Instance).To(Equal(first))
 			count[first]++
 		}
 		for _, n := range count {
@@ -197,12 +194,12 @@
 		}
 	})
 
-	It("move only the models of a target that goes", func() {
+	It("moves only the models of a removed target", func() {
 		moved := 0
 		for m := range 300 {
 			model := fmt.Sprint("m", m)
-			before := standings.Homes(fleet(12), asked(model))[0].Instance
-			after := standings.Homes(fleet(11), asked(model))[0].Instance
+			before := standings.Homes(idleTargets(12), modelToLoad(model))[0].Instance
+			after := standings.Homes(idleTargets(11), modelToLoad(model))[0].Instance
 			if before != "i-11" && before != after {
 				moved++
 			}
@@ -210,17 +207,17 @@
 		Expect(moved).To(BeZero())
 	})
 
-	It("are first those that load the model, then those with a copy, last those that load another", func() {
-		list := fleet(4)
+	It("prefers targets that load the model, then those with a copy, then those that load another", func() {
+		list := idleTargets(4)
 		list[0].Loading, list[1].AtHand, list[2].Loading = "other", []string{"m"}, "m"
 		list[0].LoadWait = 5 * time.Second
-		homes := standings.Homes(list, asked("m"))
-		Expect([]string{homes[0].Instance, homes[1].Instance, homes[3].Instance}).To(Equal([]string{"i-2", "i-1", "i-0"}))
+		ranked := standings.Homes(list, modelToLoad("m"))
+		Expect([]string{ranked[0].Instance, ranked[1].Instance, ranked[3].Instance}).To(Equal([]string{"i-2", "i-1", "i-0"}))
 	})
 })
 
-// fleet is so many targets that hold and load nothing.
-func fleet(n int) []standings.Standing {
+// idleTargets returns n targets that hold and load no model.
+func idleTargets(n int) []standings.Standing {
 	var out []standings.Standing
 	for i := range n {
 		out = append(out, listed(fmt.Sprint("i-", i), fmt.Sprint("10.0.0.", i, ":1")))
@@ -228,54 +225,54 @@
 	return out
 }
 
-// asked is a model with the usual times of its load.
-func asked(model string) standings.Asked {
+// modelToLoad returns a model with typical load times.
+func modelToLoad(model string) standings.Asked {
 	return standings.Asked{Model: model, FromStore: 6 * time.Second, FromDisk: time.Second}
 }
 
 // Guards against one target that loads all rare models in turn while others are idle.
-var _ = Describe("homes under a burst for rare models", func() {
-	It("spread it over the targets that would hold the models in time", func() {
-		list := fleet(9)
+var _ = Describe("the load order in a burst for rare models", func() {
+	It("spreads the loads over the targets that have a copy", func() {
+		list := idleTargets(9)
 		for m := range 10 {
 			model := fmt.Sprint("m", m)
 			list[0].AtHand = append(list[0].AtHand, model)
 			list[1+m%8].AtHand = append(list[1+m%8].AtHand, model)
 		}
-		held, last := map[string]time.Duration{}, time.Duration(0)
+		loadTime, longest := map[string]time.Duration{}, time.Duration(0)
 		for m := range 10 {
 			model := fmt.Sprint("m", m)
-			home := standings.Homes(list, asked(model))[0].Instance
-			held[home] += time.Second
-			last = max(last, held[home])
+			first := standings.Homes(list, modelToLoad(model))[0].Instance
+			loadTime[first] += time.Second
+			longest = max(longest, loadTime[first])
 			for i := range list {
-				if list[i].Instance == home {
+				if list[i].Instance == first {
 					list[i].LoadWait += time.Second
 					list[i].Awaited = append(list[i].Awaited, model)
 				}
 			}
 		}
-		Expect(last).To(BeNumerically("<=", 3*time.Second))
+		Expect(longest).To(BeNumerically("<=", 3*time.Second))
 	})
 
 	// Guards against two targets that load the same model and each evict another one.
-	It("join a load that is asked for already, unless another target is much sooner", func() {
-		list := fleet(3)
+	It("prefers a target with a pending load of the model, unless another is much earlier", func() {
+		list := idleTargets(3)
 		for i := range list {
 			list[i].AtHand = []string{"m"}
 		}
 		list[2].Awaited, list[2].LoadWait = []string{"m"}, 900*time.Millisecond
-		Expect(standings.Homes(list, asked("m"))[0].Instance).To(Equal("i-2"))
+		Expect(standings.Homes(list, modelToLoad("m"))[0].Instance).To(Equal("i-2"))
 		list[2].LoadWait = 8 * time.Second
-		Expect(standings.Homes(list, asked("m"))[0].Instance).NotTo(Equal("i-2"))
+		Expect(standings.Homes(list, modelToLoad("m"))[0].Instance).NotTo(Equal("i-2"))
 	})
 
-	It("are at ease where the target with a copy is pressed", func() {
-		list := fleet(2)
+	It("puts saturated targets with a copy after others", func() {
+		list := idleTargets(2)
 		for i := range list {
 			list[i].AtHand, list[i].Reported, list[i].Slots = []string{"m"}, true, 4
 		}
 		list[0].Running = 4
-		Expect(standings.Homes(list, asked("m"))[0].Instance).To(Equal("i-1"))
+		Expect(standings.Homes(list, modelToLoad("m"))[0].Instance).To(Equal("i-1"))
 	})
 })
--- a/coord/standings/table_test.go
+++ b/coord/standings/table_test.go
@@ -11,13 +11,13 @@
 	"cowsliptiller/coord/standings"
 )
 
-// A report touches the rows at its own address only. Whatever comes in whatever order,
-// the table must be the one that is joined whole each time, and a holder that takes
-// what is new must have the same.
-func TestReportsJoinAsTheWholeDoes(t *testing.T) {
+// Guards against rows that go stale because a report updates the rows at its own address only:
+// after any sequence of lists and reports, the table must equal one that is rebuilt each time,
+// and a client that applies the changes must have the same rows.
+func TestIncrementalUpdateMatchesRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, whole := standings.NewTable(1), standings.NewTable(1)
-		held, version, at := map[string]standings.Standing{}, uint64(0), now
+		table, rebuilt := standings.NewTable(1), standings.NewTable(1)
+		clientRows, version, at := map[string]standings.Standing{}, uint64(0), now
 		target := func() standings.Standing {
 			return listed(fmt.Sprint("i-", rapid.IntRange(0, 5).Draw(t, "instance")), fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(0, 3).Draw(t, "address")))
 		}
@@ -32,60 +32,60 @@
 					}
 				}
 				table.SetList(list, at)
-				whole.SetList(list, at)
+				rebuilt.SetList(list, at)
 			},
 			"report": func(t *rapid.T) {
 				s, alive := target(), rapid.IntRange(0, 4).Draw(t, "alive") > 0
 				s.Running = rapid.IntRange(0, 3).Draw(t, "running")
 				s.Models = []standings.Held{{Name: fmt.Sprint("m-", rapid.IntRange(0, 2).Draw(t, "model"))}}
 				table.Report(s, alive, at)
-				whole.Report(s, alive, at)
-				whole.Expire(at)
+				rebuilt.Report(s, alive, at)
+				rebuilt.Expire(at)
 			},
 			"time passes": func(t *rapid.T) {
 				at = at.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 				table.Expire(at)
-				whole.Expire(at)
+				rebuilt.Expire(at)
 			},
 			"holder": func(t *rapid.T) {
 				changed, gone, all := table.Since(version)
 				if all {
-					clear(held)
+					clear(clientRows)
 				}
 				for _, id := range gone {
-					delete(held, id)
+					delete(clientRows, id)
 				}
 				for _, s := range changed {
-					if row, known := held[s.Instance]; !all && s.DescribedBy(version) {
+					if row, known := clientRows[s.Instance]; !all && s.DescribedBy(version) {
 						if !known {
-							t.Fatalf("the holder lacks %s, of which it is sent the load only", s.Instance)
+							t.Fatalf("client has no row for %s but was sent its load only", s.Instance)
 						}
 						row.Load, row.Version = s.Load, s.Version
-						held[s.Instance] = row
+						clientRows[s.Instance] = row
 						continue
 					}
-					held[s.Instance] = *s
+					clientRows[s.Instance] = *s
 				}
 				version = table.Version()
-				if len(held) != len(table.All()) {
-					t.Fatalf("the holder has %d targets of %d", len(held), len(table.All()))
+				if len(clientRows) != len(table.All()) {
+					t.Fatalf("client has %d targets, want %d", len(clientRows), len(table.All()))
 				}
 				for _, s := range table.All() {
-					if fmt.Sprint(held[s.Instance]) != fmt.Sprint(*s) {
-						t.Fatalf("the holder has %+v of %+v", held[s.Instance], *s)
+					if fmt.Sprint(clientRows[s.Instance]) != fmt.Sprint(*s) {
+						t.Fatalf("client's row: got %+v, want %+v", clientRows[s.Instance], *s)
 					}
 				}
 			},
 			"": func(t *rapid.T) {
-				if got, want := rows(table), rows(whole); got != want {
-					t.Fatalf("rows\n%s of\n%s", got, want)
+				if got, want := rows(table), rows(rebuilt); got != want {
+					t.Fatalf("got rows\n%s\nwant\n%s", got, want)
 				}
 			},
 		})
 	})
 }
 
-// rows are a table's rows without the versions, which differ by how often it is joined.
+// rows formats a table's rows without Version, which depends on the number of rebuilds.
 func rows(t *standings.Table) string {
 	out := ""
 	for _, s := range t.All() {
@@ -96,9 +96,9 @@
 	return out
 }
 
-// Three thousand targets, whose agents report while a hundred holders ask for what is
-// new: what one report and one question cost the leader.
-func BenchmarkReportAndQuestion(b *testing.B) {
+// BenchmarkReportAndPoll measures the leader's cost of one report and one poll for its change,
+// with 3000 targets.
+func BenchmarkReportAndPoll(b *testing.B) {
 	const targets = 3000
 	table := standings.NewTable(1)
 	var list []standings.Standing
@@ -112,12 +112,13 @@
 		table.Report(s, true, now)
 		before := table.Version() - 1
 		if changed, _, _ := table.Since(before); len(changed) > 1 && i > targets {
-			b.Fatalf("%d rows for one report", len(changed))
+			b.Fatalf("%d rows changed by one report, want at most 1", len(changed))
 		}
 	}
 }
 
-func TestAReportIsFoundAmongManyTargets(t *testing.T) {
+// Guards against changes of other targets in the result for a single report.
+func TestReportChangesOneRow(t *testing.T) {
 	g := NewWithT(t)
 	table := standings.NewTable(1)
 	table.SetList([]standings.Standing{listed("i-1", "10.0.0.1:1"), listed("i-2", "10.0.0.2:1")}, now)
@@ -133,7 +134,7 @@
 	g.Expect(changed[0].Running).To(Equal(3))
 }
 
-func TestNearTargetsAreThoseThatCouldLoadAModelFromTheirOwnCopy(t *testing.T) {
+func TestNearCountsTargetsThatCanLoadFromTheirOwnCopy(t *testing.T) {
 	g := NewWithT(t)
 	table := standings.NewTable(1)
 	for i, change := range []func(*standings.Standing){
@@ -154,10 +155,10 @@
 }
 
 // Guards against sending the models of all targets with each change of their load.
-func TestAChangeOfLoadLeavesTheDescription(t *testing.T) {
+func TestLoadChangeKeepsDescriptionVersion(t *testing.T) {
 	g := NewWithT(t)
 	table := standings.NewTable(1)
-	s := holding("i-1", "rare")
+	s := reportedTarget("i-1", "rare")
 	table.Report(s, true, now)
 	before := table.Version()
 	s.Running, s.Loading, s.LoadWait = 3, "other", time.Second
