--- a/coord/standings/feed.go
+++ b/coord/standings/feed.go
@@ -99,8 +99,8 @@
 	return d
 }
 
-// approxEqual reports whether two demands have the same copies and the same rate within
-// demandTolerance.
+// approxEqual reports whether two demands have equal counts of copies, and rates that are both
+// below negligibleRate or differ by at most demandTolerance.
 func (d Demand) approxEqual(other Demand) bool {
 	larger := max(d.WorthPerSecond, other.WorthPerSecond)
 	diff := math.Abs(d.WorthPerSecond - other.WorthPerSecond)
@@ -123,7 +123,7 @@
 type DemandUpdate struct {
 	Epoch   uint64 // term of the leader that sent it
 	Version uint64 // of the leader's feed
-	Whole   bool   // Changed has all entries; others are dropped
+	Whole   bool   // Changed has all entries and replaces the cache's
 	Changed []Demand
 }
 
--- a/coord/standings/known.go
+++ b/coord/standings/known.go
@@ -47,8 +47,8 @@
 // the first complete table on, also while the next leader's table is incomplete.
 func (k *Known) Complete() bool { return k.wasComplete }
 
-// Stale reports whether the entire table must be requested: the leader's table is complete
-// since update u, and the copy may still have rows that it lacks.
+// Stale reports whether the entire table must be requested: u, the last update, is from a
+// complete table, and the copy may still have rows that this table lacks.
 func (k *Known) Stale(u Update) bool { return k.unconfirmed && !u.Filling }
 
 // Take applies an update and returns the changes in order of instance.
--- a/coord/standings/use.go
+++ b/coord/standings/use.go
@@ -31,7 +31,7 @@
 // minRate is the rate per second below which a model counts as not requested.
 const minRate = 1e-4
 
-// NewUse returns a record without demand that is complete from now on.
+// NewUse returns an empty record that covers the time from now on.
 func NewUse(now time.Time) *Use { return &Use{startedAt: now, rates: map[string]*rate{}} }
 
 // age returns for how long demand has been recorded.
