--- a/coord/residency/doc.go
+++ b/coord/residency/doc.go
@@ -1,18 +1,20 @@
-// Package residency decides what one target holds: which model or adapter is loaded
-// next, what makes way for it, and when a request that waits for it is told to come
-// back later.
+// Package residency decides which models and adapters one target holds: what it loads next,
+// what it unloads to make room, and when a request that waits for a model is told to retry
+// later. It also limits loads from the weight store over the whole fleet.
 //
-// Load pattern: many models are asked for rarely, and a target holds few at once. A
-// load from the weight store takes seconds, one from the target's own disk or
-// memory well under a second, an adapter milliseconds. A target carries out one
-// order on models at a time.
+// Load pattern: requests for many rarely used models, of which a target holds few at once.
+// Without it: requests for models that no target holds are never served, or each of them
+// evicts a model that others use.
+// Rule: load what has the highest value per second of load time; evict only what has a lower value.
 //
-// Without it, requests for models that are nowhere loaded are never served, or each
-// of them drops a model that others are using.
+// A load from the weight store takes seconds, one from the target's own disk or memory well
+// under a second, one of an adapter milliseconds. A target carries out one load or unload of
+// a model at a time.
 //
-// Orders are given by one holder only. Each names how many orders the target must
-// have accepted before it (its sequence), so that an order whose answer was lost and
-// that is carried out seconds later changes nothing once another one was accepted.
+// Only one agent gives orders to a target. Each order names how many orders the target must
+// have accepted before it (its sequence). An order whose answer was lost and that arrives
+// seconds later is therefore refused once another order was accepted.
 //
-// A Keeper is plain data without a lock; time is an argument.
+// The types are plain data without locks and without a clock: callers serialize all calls
+// and pass the current time.
 package residency
--- a/coord/residency/growth.go
+++ b/coord/residency/growth.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// Load pattern: one model's only copy is saturated, and another model is asked for more, but
-// has copies enough.
-// Without it: an agent unloads a model for the saturated one, fills the room with the other,
-// gives its permit back, and the next agent does the same: copies are lost and none is made.
-// Rule: room that an unload made for a further copy goes to that copy.
+// Load pattern: the only copy of one model is saturated; another model has more demand, but enough copies.
+// Without it: an agent unloads a model for the saturated one, loads the other one into the room and
+// returns its permit, and the next agent does the same: copies are lost and none is added.
+// Rule: room that an unload made for one more copy of a model is reserved for that copy.
 
-// growthLife is how long room is kept for a further copy: an unload waits for its runs.
-const growthLife = 8 * time.Second
+// reservationTimeout is how long room is reserved for a copy. It covers the unload, which
+// waits for the requests that still run on the unloaded model.
+const reservationTimeout = 8 * time.Second
 
-// growth is a further copy that an unload makes room for.
-type growth struct {
+// reservation is the room that an unload makes for one more copy of a model.
+type reservation struct {
 	model string
 	until time.Time
 }
 
-// reserve keeps the room that an accepted unload makes for a further copy.
+// reserve records the room that an accepted unload makes for one more copy of a model. Any other
+// accepted order on a model ends an earlier reservation.
 func (k *Keeper) reserve(o Order, now time.Time) {
 	if o.Adapter != "" {
 		return
 	}
-	k.growing = growth{}
+	k.reserved = reservation{}
 	if !o.Load && o.Grow {
-		k.growing = growth{o.For, now.Add(growthLife)}
+		k.reserved = reservation{o.For, now.Add(reservationTimeout)}
 	}
 }
 
-// growReserved returns the load of the copy that room was made for.
-func (k *Keeper) growReserved(now time.Time) (Order, bool) {
-	model := k.growing.model
+// loadReserved returns the load order for the reserved room, if the model still fits and is not held.
+func (k *Keeper) loadReserved(now time.Time) (Order, bool) {
+	model := k.reserved.model
 	_, held := k.report.Models[model]
-	if model == "" || held || now.After(k.growing.until) || !k.fits(model) {
+	if model == "" || held || now.After(k.reserved.until) || !k.fits(model) {
 		return Order{}, false
 	}
-	o := k.order(true, model, "")
+	o := k.newOrder(true, model, "")
 	o.Grow = k.demand[model].Copies > 0
 	return o, true
 }
--- a/coord/residency/keeper.go
+++ b/coord/residency/keeper.go
@@ -7,76 +7,75 @@
 	"time"
 )
 
-// Keeper decides for one target. It is not safe for concurrent use.
+// Keeper decides about the loads and unloads of one target. It is not safe for concurrent use.
 type Keeper struct {
-	engine  Engine
-	demand  map[string]Demand
-	report  Report
-	known   bool // a report has come
-	wants   map[string]*Want
-	retries map[string][]retry   // by model
-	pending *pending             // the order that was sent and is not settled
-	loading map[string]loadBegun // model loads that were accepted, until reported
-	used    map[string]time.Time // model or model/adapter, when last wanted
-	stay    map[string]time.Time // models that must not make way before
-	ready   time.Time            // no order before
-	store   time.Time            // the weight store takes no load for this target before
-	refused map[string]time.Time // model/adapter whose unload was refused: it is in use
-	growing growth               // the further copy that room was made for
+	engine          Engine
+	demand          map[string]Demand
+	report          Report
+	hasReport       bool                      // at least one report was observed
+	waiters         map[string]*Want          // by ID
+	retries         map[string][]retry        // by model
+	pending         *pendingOrder             // the order that was sent and whose result is not known
+	loading         map[string]loadInProgress // accepted loads by model, until a report shows their end
+	lastWanted      map[string]time.Time      // by model or model/adapter: when a request last asked for it
+	keepUntil       map[string]time.Time      // by model: it is not evicted before
+	nextOrderAt     time.Time                 // no order is sent before
+	storeBusyUntil  time.Time                 // the weight store accepts no load for this target before
+	unloadRefusedAt map[string]time.Time      // by model/adapter: when its unload was refused, as it is in use
+	reserved        reservation               // room reserved for one more copy
 }
 
-type loadBegun struct {
-	at   time.Time
-	take time.Duration
+type loadInProgress struct {
+	startedAt time.Time
+	expected  time.Duration
 }
 
-// pending is an order whose fate is open.
-type pending struct {
-	order Order
-	sent  bool // an attempt got no answer
+// pendingOrder is an order that was sent and whose result is not known.
+type pendingOrder struct {
+	order      Order
+	unanswered bool // an attempt to send it got no answer
 }
 
-// Times and shares of the keeper.
+// Times that decisions and forecasts are based on.
 const (
-	// minStay is how long a model stays after it was loaded on demand: the requests
-	// that waited for it arrive and begin within it.
-	minStay = 1500 * time.Millisecond
-	// refusalPause is the wait after an order that the target did not take: its
-	// state is known again with the next report.
-	refusalPause = 100 * time.Millisecond
-	// keepHorizon is the time over which a held model's expected worth is weighed
-	// against what waits for another: about what a load from disk and the runs that
-	// an unload waits for cost together.
-	keepHorizon = 3 * time.Second
-	// orderSlack is added to a load's expected time in forecasts: the order, the
-	// report that shows its end, and the request's way.
-	orderSlack = 150 * time.Millisecond
-	// unloadWait is the usual wait of an unload for the runs under way.
-	unloadWait = time.Second
+	// minResidency protects a model from eviction after a load, so that the requests that
+	// waited for it can arrive and begin.
+	minResidency = 1500 * time.Millisecond
+	// refusalDelay is the pause after an order that was not accepted or not answered, and after
+	// an accepted unload of a model. The next report shows the target's state.
+	refusalDelay = 100 * time.Millisecond
+	// valueHorizon is the time over which the expected value of a held model is compared with
+	// the value of the requests for another one. It is about the time that replacing a model
+	// takes: the unload, which waits for running requests, and a load from disk.
+	valueHorizon = 3 * time.Second
+	// orderOverhead is added to load times in forecasts. It covers the order itself, the report
+	// that shows the end of the load, and the request's transfer to the target.
+	orderOverhead = 150 * time.Millisecond
+	// typicalUnloadWait is how long an unload usually waits for running requests to finish.
+	typicalUnloadWait = time.Second
 )
 
-// NewKeeper returns a keeper without a report.
+// NewKeeper returns a Keeper that gives no orders until it has a configuration and a report.
 func NewKeeper() *Keeper {
 	return &Keeper{
-		demand: map[string]Demand{}, wants: map[string]*Want{}, retries: map[string][]retry{}, loading: map[string]loadBegun{},
-		used: map[string]time.Time{}, stay: map[string]time.Time{}, refused: map[string]time.Time{},
+		demand: map[string]Demand{}, waiters: map[string]*Want{}, retries: map[string][]retry{}, loading: map[string]loadInProgress{},
+		lastWanted: map[string]time.Time{}, keepUntil: map[string]time.Time{}, unloadRefusedAt: map[string]time.Time{},
 	}
 }
 
-// Configure takes what the configuration says of the target's service.
+// Configure sets the configuration of the target's service.
 func (k *Keeper) Configure(e Engine) { k.engine = e }
 
-// SetDemand takes the fleet's demand by model.
+// SetDemand sets the fleet-wide demand by model.
 func (k *Keeper) SetDemand(d map[string]Demand) { k.demand = d }
 
-// Holds reports whether the target holds a model, and an adapter of it unless that
-// is empty.
+// Holds reports whether the target holds a model and, unless adapter is empty, that adapter.
 func (k *Keeper) Holds(model, adapter string) bool {
 	adapters, held := k.report.Models[model]
 	return held && (adapter == "" || slices.Contains(adapters, adapter))
 }
 
-// Loading is the model whose load is under way, empty if none is.
+// Loading returns the model that is being loaded, or "" if there is none.
 func (k *Keeper) Loading() string {
 	for _, m := range slices.Sorted(maps.Keys(k.loading)) {
 		return m
@@ -84,54 +83,56 @@
 	return ""
 }
 
-// Observe takes the target's newest report and returns the wants that it settles.
+// Observe updates the state from the target's newest report and returns the requests whose wait it ends.
 func (k *Keeper) Observe(r Report, now time.Time) []Verdict {
-	if k.known && r.Start != k.report.Start {
-		k.restart()
+	if k.hasReport && r.Start != k.report.Start {
+		k.reset()
 	}
-	k.report, k.known = r, true
+	k.report, k.hasReport = r, true
 	if k.pending != nil && r.Sequence > k.pending.order.After {
-		// Some order was accepted at that sequence: this one, or one that makes it void.
-		k.settle(now)
+		// An order with that sequence was accepted: either this one, or another one, after
+		// which the target refuses this one.
+		k.resolvePending(now)
 	}
 	for model := range k.loading {
 		if _, held := r.Models[model]; held {
-			k.stay[model] = now.Add(minStay)
+			k.keepUntil[model] = now.Add(minResidency)
 			delete(k.loading, model)
 		} else if !r.Busy {
 			delete(k.loading, model)
 		}
 	}
-	return k.held(now)
+	return k.resolveHeld(now)
 }
 
-// restart forgets what was true of the target before its restart: it holds nothing.
-func (k *Keeper) restart() {
+// reset clears the state that a restart of the target ends: after it the target holds nothing.
+func (k *Keeper) reset() {
 	k.pending = nil
-	k.growing = growth{}
+	k.reserved = reservation{}
 	clear(k.loading)
-	clear(k.stay)
+	clear(k.keepUntil)
 }
 
-// settle takes the pending order as carried out or void; the report says which.
-func (k *Keeper) settle(now time.Time) {
+// resolvePending ends the wait for the pending order's result. It was accepted or can no longer be;
+// the report shows which.
+func (k *Keeper) resolvePending(now time.Time) {
 	o := k.pending.order
 	k.pending = nil
 	k.reserve(o, now)
 	if o.Load && o.Adapter == "" && k.report.Busy {
-		k.loading[o.Model] = loadBegun{now, k.loadTime(o.Model)}
+		k.loading[o.Model] = loadInProgress{now, k.loadTime(o.Model)}
 	}
 }
 
-// Add notes a want. It returns a verdict at once where the model is held, or where
-// it cannot be held in time.
+// Add adds a waiting request. If the model is held already, is not configured, or is not
+// forecast to be ready before w.Until, the request does not wait: Add returns its verdict and true.
 func (k *Keeper) Add(w Want, now time.Time) (Verdict, bool) {
-	k.used[w.Model] = now
+	k.lastWanted[w.Model] = now
 	if w.Adapter != "" {
-		k.used[w.Model+"/"+w.Adapter] = now
+		k.lastWanted[w.Model+"/"+w.Adapter] = now
 	}
 	if _, known := k.engine.Models[w.Model]; !known {
-		return Verdict{ID: w.ID, Reason: "the configuration does not know the model"}, true
+		return Verdict{ID: w.ID, Reason: "the model is not in the configuration"}, true
 	}
 	if k.Holds(w.Model, w.Adapter) {
 		return Verdict{ID: w.ID, Held: true}, true
@@ -140,114 +141,116 @@
 		expected := w.Retries && k.expectRetry(w, ready, now)
 		return Verdict{ID: w.ID, RetryAfter: ready, Expected: expected, Reason: "it would be ready too late"}, true
 	}
-	k.wants[w.ID] = &w
+	k.waiters[w.ID] = &w
 	return Verdict{}, false
 }
 
-// Drop forgets a want whose caller has gone.
-func (k *Keeper) Drop(id string) { delete(k.wants, id) }
+// Drop removes a waiting request whose caller has gone.
+func (k *Keeper) Drop(id string) { delete(k.waiters, id) }
 
-// Waiting returns the number of wants.
-func (k *Keeper) Waiting() int { return len(k.wants) }
+// Waiting returns the number of waiting requests.
+func (k *Keeper) Waiting() int { return len(k.waiters) }
 
-// Tick returns the wants whose time is over.
+// Tick removes expired state and returns the waiting requests whose time is over.
 func (k *Keeper) Tick(now time.Time) []Verdict {
-	k.dropRetries(now)
+	k.expireRetries(now)
 	var out []Verdict
-	for _, id := range slices.Sorted(maps.Keys(k.wants)) {
-		w := k.wants[id]
+	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
+		w := k.waiters[id]
 		if now.Before(w.Until) {
 			continue
 		}
-		delete(k.wants, id)
-		out = append(out, Verdict{ID: id, RetryAfter: k.forecast(*w, now), Reason: "it did not become ready in time"})
+		delete(k.waiters, id)
+		out = append(out, Verdict{ID: id, RetryAfter: k.forecast(*w, now), Reason: "it was not ready within the wait limit"})
 	}
 	return out
 }
 
-// FailAll gives up all wants, as when the target does not answer.
+// FailAll ends the wait of all requests with a reason, for instance when the target does not answer.
+// No retry of refused callers is expected any more.
 func (k *Keeper) FailAll(reason string) []Verdict {
 	clear(k.retries)
 	var out []Verdict
-	for _, id := range slices.Sorted(maps.Keys(k.wants)) {
+	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
 		out = append(out, Verdict{ID: id, Reason: reason})
 	}
-	clear(k.wants)
+	clear(k.waiters)
 	return out
 }
 
-func (k *Keeper) held(now time.Time) []Verdict {
+// resolveHeld returns the waiting requests whose model, and adapter if any, is held now.
+func (k *Keeper) resolveHeld(now time.Time) []Verdict {
 	var out []Verdict
-	for _, id := range slices.Sorted(maps.Keys(k.wants)) {
-		w := k.wants[id]
+	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
+		w := k.waiters[id]
 		if !k.Holds(w.Model, w.Adapter) {
 			continue
 		}
-		k.stay[w.Model] = now.Add(minStay)
-		delete(k.wants, id)
+		k.keepUntil[w.Model] = now.Add(minResidency)
+		delete(k.waiters, id)
 		out = append(out, Verdict{ID: id, Held: true})
 	}
 	return out
 }
 
-// Next returns the order to send now, if any. While an order's fate is open only
-// the same order is sent again: if the first was accepted the target's sequence has
-// moved on and the second is refused; if not, the second takes its place.
+// Next returns the order to send now, if any. While the result of an order is unknown, only the
+// same order is sent again. If the first attempt was accepted, the target's sequence has advanced
+// and the second is refused; if not, the second takes effect instead.
 func (k *Keeper) Next(now time.Time) (Order, bool) {
-	if !k.known || len(k.engine.Models) == 0 || now.Before(k.ready) {
+	if !k.hasReport || len(k.engine.Models) == 0 || now.Before(k.nextOrderAt) {
 		return Order{}, false
 	}
 	if k.pending != nil {
-		if k.pending.sent {
+		if k.pending.unanswered {
 			return k.pending.order, true
 		}
-		return Order{}, false // its answer is awaited
+		return Order{}, false // its first attempt is still under way
 	}
 	if k.report.Busy || len(k.loading) > 0 {
-		return Order{}, false // it would refuse any order, on adapters too
+		return Order{}, false // the target would refuse any order, also one on an adapter
 	}
-	if o, ok := k.nextAdapter(now); ok {
+	if o, ok := k.nextAdapterOrder(now); ok {
 		return o, true
 	}
-	return k.nextModel(now)
+	return k.nextModelOrder(now)
 }
 
-// Idle reports whether no order is open or being carried out, and none need wait: what
-// Next does not order now is not wanted.
+// Idle reports whether no order is pending or under way and none is delayed, so that Next
+// returning no order means that none is needed.
 func (k *Keeper) Idle(now time.Time) bool {
-	return k.known && k.pending == nil && !k.report.Busy && len(k.loading) == 0 && !now.Before(k.ready)
+	return k.hasReport && k.pending == nil && !k.report.Busy && len(k.loading) == 0 && !now.Before(k.nextOrderAt)
 }
 
-// Sent notes that an order goes out.
-func (k *Keeper) Sent(o Order) { k.pending = &pending{order: o} }
+// Sent records that an order is being sent. Answered must follow with its result.
+func (k *Keeper) Sent(o Order) { k.pending = &pendingOrder{order: o} }
 
-// Answered notes what became of the order that was sent.
+// Answered records the result of the order that was sent.
 func (k *Keeper) Answered(o Order, r Result, now time.Time) {
 	if k.pending == nil || k.pending.order != o {
-		return // a report has settled it
+		return // a report has resolved it already
 	}
 	switch r {
 	case Accepted:
 		k.report.Sequence = max(k.report.Sequence, o.After+1)
 		k.pending = nil
-		k.accepted(o, now)
+		k.applyAccepted(o, now)
 	case Unknown:
-		k.pending.sent = true
-		k.ready = now.Add(refusalPause)
+		k.pending.unanswered = true
+		k.nextOrderAt = now.Add(refusalDelay)
 	case Refused, Rejected, Holds:
-		// After an attempt without an answer a refusal can mean that the first one
-		// was accepted: the next report shows which.
+		// If an earlier attempt got no answer, a refusal can mean that the earlier one was
+		// accepted. The next report shows which.
 		k.pending = nil
 		if o.Adapter != "" && !o.Load && !k.report.Busy {
-			k.refused[o.Model+"/"+o.Adapter] = now
+			k.unloadRefusedAt[o.Model+"/"+o.Adapter] = now
 			return
 		}
-		k.ready = now.Add(refusalPause)
+		k.nextOrderAt = now.Add(refusalDelay)
 	}
 }
 
-// accepted notes what the next report will show.
-func (k *Keeper) accepted(o Order, now time.Time) {
+// applyAccepted applies an accepted order to the state, as the next report will show it.
+func (k *Keeper) applyAccepted(o Order, now time.Time) {
 	k.reserve(o, now)
 	switch {
 	case o.Adapter != "" && o.Load:
@@ -256,10 +259,10 @@
 		k.report.Models[o.Model] = without(k.report.Models[o.Model], o.Adapter)
 	case o.Load:
 		k.report.Busy = true
-		k.loading[o.Model] = loadBegun{now, k.loadTime(o.Model)}
+		k.loading[o.Model] = loadInProgress{now, k.loadTime(o.Model)}
 	default:
 		k.report.Busy = true
-		k.ready = now.Add(refusalPause)
+		k.nextOrderAt = now.Add(refusalDelay)
 	}
 }
 
@@ -272,11 +275,11 @@
 	return out
 }
 
-func without(list []string, gone string) []string {
-	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == gone })
+func without(list []string, removed string) []string {
+	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == removed })
 }
 
-// loadTime is how long a load is expected to take, by where the weights are.
+// loadTime returns the expected time to load a model from the nearest place that has its weights.
 func (k *Keeper) loadTime(model string) time.Duration {
 	m := k.engine.Models[model]
 	switch {
@@ -288,72 +291,75 @@
 	return m.FromStore
 }
 
+// fromStore reports whether a model must be loaded from the weight store.
 func (k *Keeper) fromStore(model string) bool {
 	return !slices.Contains(k.report.InMemory, model) && !slices.Contains(k.report.OnDisk, model)
 }
 
-// forecast says when a want can be held, as things stand.
+// forecast returns how long it will take, in the current state, until a waiting request can run.
 func (k *Keeper) forecast(w Want, now time.Time) time.Duration {
 	if _, held := k.report.Models[w.Model]; held {
-		return orderSlack
+		return orderOverhead
 	}
 	if l, loading := k.loading[w.Model]; loading {
-		return l.left(now) + orderSlack
+		return l.remaining(now) + orderOverhead
 	}
-	wait := orderSlack + k.loadingLeft(now)
-	for _, model := range k.wantedModels() {
+	wait := orderOverhead + k.loadingRemaining(now)
+	for _, model := range k.modelsToLoad() {
 		if model == w.Model {
 			break
 		}
-		wait += k.loadTime(model) + unloadWait
+		wait += k.loadTime(model) + typicalUnloadWait
 	}
 	if !k.fits(w.Model) {
-		wait += unloadWait
+		wait += typicalUnloadWait
 	}
 	if k.fromStore(w.Model) {
-		wait = max(wait, k.store.Sub(now))
+		wait = max(wait, k.storeBusyUntil.Sub(now))
 	}
 	return wait + k.loadTime(w.Model)
 }
 
-// left is how much longer a load is expected to take.
-func (l loadBegun) left(now time.Time) time.Duration { return max(0, l.take-now.Sub(l.at)) }
+// remaining returns how much longer a load is expected to take.
+func (l loadInProgress) remaining(now time.Time) time.Duration {
+	return max(0, l.expected-now.Sub(l.startedAt))
+}
 
-// loadingLeft is how much longer the loads under way are expected to take.
-func (k *Keeper) loadingLeft(now time.Time) time.Duration {
+// loadingRemaining returns how much longer the loads under way are expected to take.
+func (k *Keeper) loadingRemaining(now time.Time) time.Duration {
 	sum := time.Duration(0)
 	for _, l := range k.loading {
-		sum += l.left(now)
+		sum += l.remaining(now)
 	}
 	return sum
 }
 
-// LoadWait is how long it takes until a load could begin that nobody has asked for yet.
+// LoadWait returns how long a load that is requested now would wait until it can begin.
 func (k *Keeper) LoadWait(now time.Time) time.Duration {
-	wait := k.loadingLeft(now)
+	wait := k.loadingRemaining(now)
 	for _, model := range k.Awaited() {
-		wait += k.loadTime(model) + unloadWait
+		wait += k.loadTime(model) + typicalUnloadWait
 	}
 	return wait
 }
 
-// Awaited returns the models that requests wait for and that are not loading, the one to
-// load first in front.
+// Awaited returns the models that are to be loaded and are not loading yet, in the order in
+// which they will be loaded.
 func (k *Keeper) Awaited() []string {
-	return slices.DeleteFunc(k.wantedModels(), func(model string) bool {
+	return slices.DeleteFunc(k.modelsToLoad(), func(model string) bool {
 		_, loading := k.loading[model]
 		return loading
 	})
 }
 
-// StoreBusy notes that the weight store takes no load for this target for a while. It
-// returns the wants that cannot be met in their time any more, so that their callers retry
-// when they can be.
+// StoreBusy records that the weight store accepts no load for this target for the given time.
+// It returns the waiting requests that can no longer be served within their wait limit, so that
+// their callers retry when they can be.
 func (k *Keeper) StoreBusy(wait time.Duration, now time.Time) []Verdict {
-	k.store = now.Add(wait)
+	k.storeBusyUntil = now.Add(wait)
 	var out []Verdict
-	for _, id := range slices.Sorted(maps.Keys(k.wants)) {
-		w := k.wants[id]
+	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
+		w := k.waiters[id]
 		if _, held := k.report.Models[w.Model]; held || !k.fromStore(w.Model) {
 			continue
 		}
@@ -361,32 +367,35 @@
 			continue
 		}
 		if ready := k.forecast(*w, now); now.Add(ready).After(w.Until) {
-			delete(k.wants, id)
+			delete(k.waiters, id)
 			out = append(out, Verdict{ID: id, RetryAfter: ready, Reason: "the weight store is busy with other loads"})
 		}
 	}
 	return out
 }
 
-// wantedModels returns the models that are waited for, or expected to be asked for again, and
-// not held, the one to load first in front: by the worth for each second of its load.
-func (k *Keeper) wantedModels() []string {
-	worth := map[string]float64{}
-	for _, w := range k.wants {
+// modelsToLoad returns the models that are not held and that requests wait for or expected
+// retries need, in descending order of value per second of load time.
+func (k *Keeper) modelsToLoad() []string {
+	value := map[string]float64{}
+	for _, w := range k.waiters {
 		if _, held := k.report.Models[w.Model]; !held {
-			worth[w.Model] += w.Worth
+			value[w.Model] += w.Worth
 		}
 	}
 	for model := range k.retries {
-		if _, held := k.report.Models[model]; !held && k.loadsForRetries(model) {
-			worth[model] += k.retryWorth(model)
+		if _, held := k.report.Models[model]; !held && k.retriesJustifyLoad(model) {
+			value[model] += k.retryValue(model)
 		}
 	}
-	models := slices.Sorted(maps.Keys(worth))
+	models := slices.Sorted(maps.Keys(value))
 	slices.SortStableFunc(models, func(a, b string) int {
-		return cmp.Compare(worth[b]/k.cost(b), worth[a]/k.cost(a))
+		return cmp.Compare(value[b]/k.loadSeconds(b), value[a]/k.loadSeconds(a))
 	})
 	return models
 }
 
-func (k *Keeper) cost(model string) float64 { return (k.loadTime(model) + orderSlack).Seconds() }
+// loadSeconds returns the expected time to load a model, with the overhead of the order, in seconds.
+func (k *Keeper) loadSeconds(model string) float64 {
+	return (k.loadTime(model) + orderOverhead).Seconds()
+}
--- a/coord/residency/orders.go
+++ b/coord/residency/orders.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// nextAdapter returns an order for an adapter that is waited for and whose model is held.
-func (k *Keeper) nextAdapter(now time.Time) (Order, bool) {
-	for _, id := range slices.Sorted(maps.Keys(k.wants)) {
-		w := k.wants[id]
+// nextAdapterOrder returns an order to load an adapter that a request waits for and whose model is
+// held, or to unload another adapter if there is no room for it.
+func (k *Keeper) nextAdapterOrder(now time.Time) (Order, bool) {
+	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
+		w := k.waiters[id]
 		_, held := k.report.Models[w.Model]
 		if w.Adapter == "" || !held || k.Holds(w.Model, w.Adapter) || slices.Contains(k.report.Coming[w.Model], w.Adapter) {
 			continue
 		}
-		if k.adapters() >= k.engine.AdapterPlaces || !k.room(k.engine.Models[w.Model].AdapterMb) {
-			return k.dropAdapter(now)
+		if k.adapterCount() >= k.engine.AdapterPlaces || !k.hasRoom(k.engine.Models[w.Model].AdapterMb) {
+			return k.evictAdapter(now)
 		}
-		return k.order(true, w.Model, w.Adapter), true
+		return k.newOrder(true, w.Model, w.Adapter), true
 	}
 	return Order{}, false
 }
 
-// adapters counts the adapters held and on their way: both take a place.
-func (k *Keeper) adapters() int {
+// adapterCount returns the number of adapters that are held or being loaded: both take a place.
+func (k *Keeper) adapterCount() int {
 	n := 0
 	for _, list := range k.report.Models {
 		n += len(list)
@@ -35,19 +36,20 @@
 	return n
 }
 
-// dropAdapter makes room by the adapter that was wanted longest ago. One that a
-// request waited for lately stays: its request is about to begin.
-func (k *Keeper) dropAdapter(now time.Time) (Order, bool) {
+// evictAdapter returns an order to unload the least recently wanted adapter. Adapters that a
+// request waited for within minAdapterResidency stay, as the request is about to begin, and so
+// do those whose unload was refused within adapterUnloadRetryDelay.
+func (k *Keeper) evictAdapter(now time.Time) (Order, bool) {
 	var oldest *Order
-	var when time.Time
+	var oldestUse time.Time
 	for _, model := range slices.Sorted(maps.Keys(k.report.Models)) {
 		for _, a := range k.report.Models[model] {
-			used := k.used[model+"/"+a]
-			if now.Sub(used) < adapterStay || now.Sub(k.refused[model+"/"+a]) < useCheck || oldest != nil && !used.Before(when) {
+			used := k.lastWanted[model+"/"+a]
+			if now.Sub(used) < minAdapterResidency || now.Sub(k.unloadRefusedAt[model+"/"+a]) < adapterUnloadRetryDelay || oldest != nil && !used.Before(oldestUse) {
 				continue
 			}
-			o := k.order(false, model, a)
-			oldest, when = &o, used
+			o := k.newOrder(false, model, a)
+			oldest, oldestUse = &o, used
 		}
 	}
 	if oldest == nil {
@@ -56,43 +58,46 @@
 	return *oldest, true
 }
 
-// useCheck is how long an adapter whose unload was refused is taken to be in use:
-// about the time of one run.
-const useCheck = time.Second
+// adapterUnloadRetryDelay is how long an adapter is assumed to be in use after its unload was
+// refused: about the time of one run.
+const adapterUnloadRetryDelay = time.Second
 
-// adapterStay is how long an adapter stays after a request waited for it: the
-// request's way to the target.
-const adapterStay = 200 * time.Millisecond
+// minAdapterResidency protects an adapter from eviction after a request waited for it, while the
+// request is sent to the target.
+const minAdapterResidency = 200 * time.Millisecond
 
-// nextModel returns the load that is worth most, or the unload that it needs.
-func (k *Keeper) nextModel(now time.Time) (Order, bool) {
-	for _, model := range k.wantedModels() {
+// nextModelOrder returns the model load with the highest value, or the unload that makes room for
+// it. Models that requests wait for come first, then a reserved copy, then a load into free
+// room, and last one more copy of a saturated model in place of another model.
+func (k *Keeper) nextModelOrder(now time.Time) (Order, bool) {
+	for _, model := range k.modelsToLoad() {
 		if k.fits(model) {
-			return k.order(true, model, ""), true
+			return k.newOrder(true, model, ""), true
 		}
 		if victim, ok := k.victim(model, now); ok {
-			o := k.order(false, victim, "")
+			o := k.newOrder(false, victim, "")
 			o.For, o.Store = model, k.fromStore(model)
 			return o, true
 		}
 	}
-	if o, ok := k.growReserved(now); ok {
+	if o, ok := k.loadReserved(now); ok {
 		return o, true
 	}
-	if o, ok := k.fill(); ok {
+	if o, ok := k.fillFreeRoom(); ok {
 		return o, true
 	}
-	return k.grow(now)
+	return k.addCopy(now)
 }
 
-func (k *Keeper) order(load bool, model, adapter string) Order {
+// newOrder returns an order that depends on the target's current sequence.
+func (k *Keeper) newOrder(load bool, model, adapter string) Order {
 	return Order{
 		Load: load, Model: model, Adapter: adapter, After: k.report.Sequence, Instance: k.report.Instance,
 		Store: load && adapter == "" && k.fromStore(model), For: model,
 	}
 }
 
-// used memory in MB, adapters on their way included.
+// usedMb returns the used memory in MB, including models and adapters that are being loaded.
 func (k *Keeper) usedMb() float64 {
 	sum := 0.0
 	for model, adapters := range k.report.Models {
@@ -107,28 +112,28 @@
 	return sum
 }
 
-func (k *Keeper) room(mb float64) bool { return k.usedMb()+mb <= k.engine.WeightsMb }
+func (k *Keeper) hasRoom(mb float64) bool { return k.usedMb()+mb <= k.engine.WeightsMb }
 
-func (k *Keeper) fits(model string) bool { return k.room(k.engine.Models[model].WeightsMb) }
+func (k *Keeper) fits(model string) bool { return k.hasRoom(k.engine.Models[model].WeightsMb) }
 
-// victim returns the held model that is worth least to keep, if what waits for the
-// wanted one is worth more.
+// victim returns the held model with the lowest value to keep, if the requests for the wanted
+// model have a higher value.
 func (k *Keeper) victim(wanted string, now time.Time) (string, bool) {
-	best, least := "", math.Inf(1)
+	best, lowest := "", math.Inf(1)
 	for _, model := range slices.Sorted(maps.Keys(k.report.Models)) {
-		if now.Before(k.stay[model]) || k.waitedFor(model) {
+		if now.Before(k.keepUntil[model]) || k.hasWaiters(model) {
 			continue
 		}
-		if keep := k.keepWorth(model); keep < least {
-			best, least = model, keep
+		if keep := k.keepValue(model); keep < lowest {
+			best, lowest = model, keep
 		}
 	}
-	return best, best != "" && least < k.waitingWorth(wanted)
+	return best, best != "" && lowest < k.waitingValue(wanted)
 }
 
-// waitedFor reports whether a request waits for an adapter of a held model.
-func (k *Keeper) waitedFor(model string) bool {
-	for _, w := range k.wants {
+// hasWaiters reports whether a request waits for a model or, if it is held, for an adapter of it.
+func (k *Keeper) hasWaiters(model string) bool {
+	for _, w := range k.waiters {
 		if w.Model == model {
 			return true
 		}
@@ -136,31 +141,34 @@
 	return false
 }
 
-// keepWorth is what keeping a model here is worth: its callers' worth over the
-// horizon, divided by the square of its copies. Where others hold it too, the
-// requests go there; only what its absence adds to their load is lost.
-func (k *Keeper) keepWorth(model string) float64 {
+// keepValue returns the value of keeping a model at this target: the value of its demand over
+// valueHorizon, divided by the square of its copies. Other targets that hold the model take over
+// its requests, so its eviction costs only what it adds to their load.
+func (k *Keeper) keepValue(model string) float64 {
 	d := k.demand[model]
 	copies := float64(max(1, d.Copies))
-	return d.WorthPerSecond * keepHorizon.Seconds() / (copies * copies)
+	return d.WorthPerSecond * valueHorizon.Seconds() / (copies * copies)
 }
 
-func (k *Keeper) waitingWorth(model string) float64 {
-	sum := k.demand[model].WorthPerSecond * keepHorizon.Seconds()
-	for _, w := range k.wants {
+// waitingValue returns the value of loading a model: its demand over valueHorizon, the requests
+// that wait for it and its expected retries.
+func (k *Keeper) waitingValue(model string) float64 {
+	sum := k.demand[model].WorthPerSecond * valueHorizon.Seconds()
+	for _, w := range k.waiters {
 		if w.Model == model {
 			sum += w.Worth
 		}
 	}
-	return sum + k.retryWorth(model)
+	return sum + k.retryValue(model)
 }
 
-// fill loads, into room that stands empty, the model whose next copy is worth most.
+// fillFreeRoom returns a load, into free room, of the model whose next copy has the highest value.
 //
-// Load pattern: a target has just started and holds nothing, while the others carry
-// all. Nobody would ask it for a model that others hold.
-func (k *Keeper) fill() (Order, bool) {
-	best, most := "", 0.0
+// Load pattern: a target has just started and holds nothing, while others serve the whole load.
+// Without it: the target stays empty, as no request waits for a model that other targets hold.
+// Rule: free room is filled by demand, without a request that waits.
+func (k *Keeper) fillFreeRoom() (Order, bool) {
+	best, highest := "", 0.0
 	for _, model := range slices.Sorted(maps.Keys(k.demand)) {
 		if _, held := k.report.Models[model]; held || !k.fits(model) {
 			continue
@@ -169,50 +177,52 @@
 			continue
 		}
 		copies := float64(k.demand[model].Copies + 1)
-		if worth := k.demand[model].WorthPerSecond / (copies * copies); worth > most {
-			best, most = model, worth
+		if value := k.demand[model].WorthPerSecond / (copies * copies); value > highest {
+			best, highest = model, value
 		}
 	}
 	if best == "" {
 		return Order{}, false
 	}
-	o := k.order(true, best, "")
+	o := k.newOrder(true, best, "")
 	o.Grow = k.demand[best].Copies > 0
 	return o, true
 }
 
-// grow makes a copy of a model whose copies are all pressed, in place of the model
-// that is worth least here.
+// addCopy returns an order to unload the held model whose eviction costs least, to make room for
+// one more copy of a model whose copies are all saturated.
 //
-// Load pattern: demand moves, within seconds, to models that one target holds. That
-// target's queue grows past its callers' patience, while others hold what nobody
-// asks for any more. Waiting requests never ask for a second copy: their model is held.
+// Load pattern: within seconds, demand moves to models that only one target holds.
+// Without it: that target's queue exceeds its callers' deadlines, while others hold unused models. No
+// request waits for a second copy, since the model is held.
+// Rule: add a copy if its gain is at least minGainToLoss times the loss by the eviction.
 //
-// What a copy more brings is the share of the load that it takes: from n copies to
-// n+1, load/n - load/(n+1) a copy. What a copy less costs is the same the other way
-// round. The margin keeps two models from taking each other's place in turn.
-func (k *Keeper) grow(now time.Time) (Order, bool) {
+// The gain of a copy is the load that it takes from each of the others: with n+1 instead of n
+// copies, load/n - load/(n+1). The loss by an eviction is computed likewise. The margin prevents
+// two models from evicting each other in turn.
+func (k *Keeper) addCopy(now time.Time) (Order, bool) {
 	if k.report.Pressed {
-		return Order{}, false // an unload would wait for a long queue's runs
+		return Order{}, false // an unload would wait for the requests of a long queue
 	}
-	model, gain := k.pressedModel()
+	model, gain := k.saturatedModel()
 	if model == "" {
 		return Order{}, false
 	}
-	victim, loss := k.leastLoss(now)
-	if victim == "" || gain < growMargin*loss {
+	victim, loss := k.cheapestEviction(now)
+	if victim == "" || gain < minGainToLoss*loss {
 		return Order{}, false
 	}
-	o := k.order(false, victim, "")
+	o := k.newOrder(false, victim, "")
 	o.For, o.Store, o.Grow = model, k.fromStore(model), true
 	return o, true
 }
 
-// growMargin is how many times what it costs a further copy must bring.
-const growMargin = 2
+// minGainToLoss is the least ratio of a copy's gain to the loss by the eviction that it needs.
+const minGainToLoss = 2
 
-// pressedModel returns the model, not held here, whose next copy brings most.
-func (k *Keeper) pressedModel() (model string, gain float64) {
+// saturatedModel returns the model with the highest gain of one more copy, among those that this
+// target does not hold and whose copies are all saturated.
+func (k *Keeper) saturatedModel() (model string, gain float64) {
 	for _, m := range slices.Sorted(maps.Keys(k.demand)) {
 		d := k.demand[m]
 		_, held := k.report.Models[m]
@@ -228,18 +238,18 @@
 	return model, gain
 }
 
-// leastLoss returns the held model whose absence here costs least.
-func (k *Keeper) leastLoss(now time.Time) (model string, loss float64) {
+// cheapestEviction returns the held model whose eviction from this target costs least.
+func (k *Keeper) cheapestEviction(now time.Time) (model string, loss float64) {
 	loss = math.Inf(1)
 	for _, m := range slices.Sorted(maps.Keys(k.report.Models)) {
-		if now.Before(k.stay[m]) || k.waitedFor(m) {
+		if now.Before(k.keepUntil[m]) || k.hasWaiters(m) {
 			continue
 		}
 		d := k.demand[m]
 		n := float64(max(1, d.Copies))
 		l := d.WorthPerSecond / max(0.5, n*(n-1))
 		if d.Pressed > 0 {
-			l *= pressedLoss
+			l *= saturatedLossFactor
 		}
 		if l < loss {
 			model, loss = m, l
@@ -248,6 +258,6 @@
 	return model, loss
 }
 
-// pressedLoss weighs the loss of a copy of a model whose copies have a queue: they
-// cannot take its requests.
-const pressedLoss = 4
+// saturatedLossFactor multiplies the loss by evicting a model of which some copies are saturated:
+// these cannot take over its requests.
+const saturatedLossFactor = 4
--- a/coord/residency/retries.go
+++ b/coord/residency/retries.go
@@ -7,47 +7,46 @@
 
 // Load pattern: demand moves to a model that no target holds, and its callers wait for less
 // time than an unload and a load from disk take.
-// Without it: each of them is refused with a time to retry, nobody waits, the model is not
-// loaded, and retries are refused like first calls.
-// Rule: a refusal with a time to retry counts as demand until then, at the one target that
-// was asked to expect the retry.
+// Without it: each caller is refused with a retry time, no request waits, so the model is
+// never loaded and retries are refused as well.
+// Rule: at the one target that the retry goes to, a refusal counts as demand until its retry time.
 
 const (
-	// retryGrace is how long after its time a retry is still expected.
+	// retryGrace is how long after its retry time a retry is still expected.
 	retryGrace = time.Second
-	// storeRetries is how many retries are expected before a model is loaded for them from
-	// the weight store, which serves few loads at a time.
-	storeRetries = 3
-	// maxRetries bounds the retries that are remembered for one model.
-	maxRetries = 64
+	// minStoreRetries is how many expected retries justify a load from the weight store, which
+	// serves few loads at a time.
+	minStoreRetries = 3
+	// maxRetriesPerModel bounds the memory for expected retries.
+	maxRetriesPerModel = 64
 )
 
-// retry is a caller that was told when to retry.
+// retry is an expected retry of a refused caller.
 type retry struct {
-	worth float64
+	value float64
 	until time.Time
 }
 
-// expectRetry notes a refused caller. It reports false where the model will not be loaded for
-// its retry.
+// expectRetry records that a refused caller will retry once the model can be ready. It reports
+// whether the model will be loaded for the retry.
 func (k *Keeper) expectRetry(w Want, ready time.Duration, now time.Time) bool {
-	if len(k.retries[w.Model]) < maxRetries {
+	if len(k.retries[w.Model]) < maxRetriesPerModel {
 		k.retries[w.Model] = append(k.retries[w.Model], retry{w.Worth, now.Add(ready + retryGrace)})
 	}
-	return k.loadsForRetries(w.Model)
+	return k.retriesJustifyLoad(w.Model)
 }
 
-// loadsForRetries reports whether the retries expected for a model are reason to load it.
-func (k *Keeper) loadsForRetries(model string) bool {
+// retriesJustifyLoad reports whether enough retries are expected for a model to load it.
+func (k *Keeper) retriesJustifyLoad(model string) bool {
 	least := 1
 	if k.fromStore(model) {
-		least = storeRetries
+		least = minStoreRetries
 	}
 	return len(k.retries[model]) >= least
 }
 
-// dropRetries forgets the retries for models that are held, and those whose time is over.
-func (k *Keeper) dropRetries(now time.Time) {
+// expireRetries removes the expected retries for models that are held, and those whose time has passed.
+func (k *Keeper) expireRetries(now time.Time) {
 	for model, list := range k.retries {
 		list = slices.DeleteFunc(list, func(r retry) bool { return now.After(r.until) })
 		k.retries[model] = list
@@ -57,14 +56,14 @@
 	}
 }
 
-// retryWorth is the worth of the retries for which a model is to be loaded.
-func (k *Keeper) retryWorth(model string) float64 {
-	if !k.loadsForRetries(model) {
+// retryValue is the total value of the retries expected for a model, 0 if they do not justify a load.
+func (k *Keeper) retryValue(model string) float64 {
+	if !k.retriesJustifyLoad(model) {
 		return 0
 	}
 	sum := 0.0
 	for _, r := range k.retries[model] {
-		sum += r.worth
+		sum += r.value
 	}
 	return sum
 }
--- a/coord/residency/store.go
+++ b/coord/residency/store.go
@@ -2,136 +2,140 @@
 
 import "time"
 
-// Gate limits loads from the weight store over the whole fleet.
+// Gate limits the loads from the weight store over the whole fleet, and the copies of a model that
+// are added at once. It is not safe for concurrent use.
 //
 // Load pattern: a shift of demand makes many targets load from the store at once.
-// Beyond what it serves at full speed each load takes longer in proportion, so that
-// all finish together at the end, and the number of loads that may begin in a window
-// is limited by the platform.
-//
-// Without it: all of them finish late together, or exceed the platform's limit.
-// Rule: one Gate, at the control leader, counts them. A new leader, which lacks its
-// predecessor's permits, takes the window for full.
+// Without it: above the store's capacity all loads slow down in proportion and finish late together,
+// or more loads begin in a window than the platform allows.
+// Rule: the control leader grants permits. A new leader, which lacks the permits of its predecessor,
+// assumes a full window.
 type Gate struct {
-	perSecond float64
-	window    time.Duration
-	begun     []time.Time
-	running   map[string]permitted // by target host
-	most      int                  // loads from the store at once
-	slowed    time.Time            // when a load last took too long
-	passedBy  map[string]time.Time // since when copies of a model are left to nearer targets
+	perSecond       float64 // limit on the loads from the store that begin, as a mean over window
+	window          time.Duration
+	storeLoadStarts []time.Time          // within the window, oldest first
+	permits         map[string]permit    // by target host
+	storeLimit      int                  // limit on concurrent loads from the store, adapted to how long they take
+	lastSlowLoad    time.Time            // when a load from the store was last found too slow
+	deferredSince   map[string]time.Time // by model: when its growth from the store was first deferred
 }
 
-type permitted struct {
-	at     time.Time
-	load   Load
-	beside int // loads from the store that ran when it began, itself included
+// permit is a granted load that has not ended.
+type permit struct {
+	grantedAt  time.Time
+	load       Load
+	concurrent int // loads from the store under way when it began, including itself
 }
 
-// Load is a load that asks for a permit.
+// Load describes a load that a host requests a permit for.
 type Load struct {
 	Model  string
-	Store  bool          // from the weight store; else from the target's own disk or memory
-	Grow   bool          // one more copy of a model that others hold
-	Copies int           // targets that hold the model
-	Near   int           // targets below capacity that have a copy of it in memory or on disk, and do not hold it
-	Usual  time.Duration // that it takes alone
+	Store  bool // from the weight store; otherwise from the target's own disk or memory
+	Grow   bool // one more copy of a model that others hold
+	Copies int  // number of targets that hold the model
+	// Near is the number of targets that have the weights in memory or on disk and could load
+	// them: they do not hold the model, load nothing and are below capacity.
+	Near  int
+	Usual time.Duration // load time without other loads from the store; 0: not known
 }
 
 const (
-	// firstAtOnce is how many loads from the store run together before the time of any is
-	// known. How many it serves at full speed is not in the configuration.
-	firstAtOnce = 3
-	leastAtOnce = 2
-	mostAtOnce  = 8
-	// A load that took longer than slowTimes its usual time had too many beside it;
-	// one that took less than quickTimes had not.
-	slowTimes  = 1.3
-	quickTimes = 1.12
-	// loadLife is when a load whose end was not reported counts as over.
-	loadLife = 20 * time.Second
-	// nearPatience delays growth from the weight store while a target with a local copy can
-	// still take it; nearForgotten without a request for a permit ends the delay.
-	nearPatience  = 1500 * time.Millisecond
-	nearForgotten = 4 * time.Second
-	// gatePause is when to ask again.
-	gatePause = 200 * time.Millisecond
+	// Limits on concurrent loads from the store. How many the store serves at full speed is not
+	// in the configuration, so the limit starts at initialStoreLimit and is adapted.
+	initialStoreLimit = 3
+	minStoreLimit     = 2
+	maxStoreLimit     = 8
+	// Ratios of a load's duration to its usual time. Above slowLoadRatio too many loads ran
+	// concurrently; below fastLoadRatio there may have been room for more.
+	slowLoadRatio = 1.3
+	fastLoadRatio = 1.12
+	// permitTimeout ends a permit whose load was not reported as ended. The limit is not raised
+	// within this time after a slow load.
+	permitTimeout = 20 * time.Second
+	// storeDeferral is how long growth from the weight store is deferred in favor of targets that
+	// have the weights in memory or on disk. A request later than deferralExpiry after the
+	// start of the deferral begins a new one.
+	storeDeferral  = 1500 * time.Millisecond
+	deferralExpiry = 4 * time.Second
+	// permitRetryDelay is the least delay before a refused host may ask again.
+	permitRetryDelay = 200 * time.Millisecond
 )
 
-// NewGate returns a gate whose window is full at now.
+// NewGate returns a Gate that permits perSecond loads from the store on average over window. Its
+// window is full at now: the loads that a predecessor may have permitted are not known.
 func NewGate(perSecond float64, window time.Duration, now time.Time) *Gate {
-	g := &Gate{perSecond: perSecond, window: window, running: map[string]permitted{}, passedBy: map[string]time.Time{}, most: firstAtOnce}
+	g := &Gate{perSecond: perSecond, window: window, permits: map[string]permit{}, deferredSince: map[string]time.Time{}, storeLimit: initialStoreLimit}
 	n := int(perSecond * window.Seconds())
 	for i := range n {
-		g.begun = append(g.begun, now.Add(-window+time.Duration(float64(window)*float64(i)/float64(n))))
+		g.storeLoadStarts = append(g.storeLoadStarts, now.Add(-window+time.Duration(float64(window)*float64(i)/float64(n))))
 	}
 	return g
 }
 
-// Configure takes a new limit.
+// Configure sets a new limit on the loads from the store that begin in a window.
 func (g *Gate) Configure(perSecond float64, window time.Duration) {
 	g.perSecond, g.window = perSecond, window
 }
 
-// Ask permits a host's load, or says when to ask again.
+// Ask grants a host a permit for a load, or returns the delay before it should ask again.
 func (g *Gate) Ask(host string, l Load, now time.Time) (granted bool, again time.Duration) {
 	g.expire(now)
-	delete(g.running, host) // one load at a time: an earlier one has ended
-	store, growing := g.count(l.Model)
+	delete(g.permits, host) // a host loads one model at a time: its earlier load has ended
+	store, growing := g.countLoads(l.Model)
 	switch {
 	case l.Grow && growing >= max(1, l.Copies):
-		// A model at most doubles at a time: what more copies bring is seen only
-		// when they have come.
-		return false, gatePause
-	case l.Grow && l.Store && g.leaveToNearer(l, now):
-		return false, gatePause
-	case l.Store && store >= g.most-g.kept(l):
-		return false, g.earliest(now)
-	case l.Store && float64(len(g.begun)+1) > g.perSecond*g.window.Seconds():
-		return false, gatePause
+		// The copies of a model at most double at a time: how much more copies relieve
+		// the load is seen only when they serve.
+		return false, permitRetryDelay
+	case l.Grow && l.Store && g.deferToLocalCopies(l, now):
+		return false, permitRetryDelay
+	case l.Store && store >= g.storeLimit-g.reservedSlots(l):
+		return false, g.untilStoreSlot(now)
+	case l.Store && float64(len(g.storeLoadStarts)+1) > g.perSecond*g.window.Seconds():
+		return false, permitRetryDelay
 	}
 	if l.Store {
-		g.begun = append(g.begun, now)
+		g.storeLoadStarts = append(g.storeLoadStarts, now)
 		store++
 	}
-	g.running[host] = permitted{now, l, store}
+	g.permits[host] = permit{now, l, store}
 	return true, 0
 }
 
-// leaveToNearer reports whether one more copy of a model should be loaded by a target with a
-// local copy, in place of the store.
-//
-// Load pattern: demand moves back to a model that was busy before. Its copies lie on the
-// disks of several targets, seconds nearer than the store, but any target at ease may ask
-// first. Its load from the store took the one place that the model had to grow by, for six
-// seconds in which a load from disk would have brought four copies.
+// deferToLocalCopies reports whether a load of one more copy from the store should be refused for
+// now, so that a target with the weights in memory or on disk can add the copy instead.
 //
-// Nearer targets are given a moment to ask: they may have more to do than is known here.
-func (g *Gate) leaveToNearer(l Load, now time.Time) bool {
+// Load pattern: demand returns to a model whose weights are still on the disks of several targets.
+// Without it: a target without them asks first, and its load from the store takes the only growth that
+// the model may have, for 6 s in which loads from disk could have added four copies.
+// Rule: refuse growth from the store for storeDeferral, then allow it, as the other targets may be
+// occupied in ways that are not known here.
+func (g *Gate) deferToLocalCopies(l Load, now time.Time) bool {
 	if l.Near == 0 {
-		delete(g.passedBy, l.Model)
+		delete(g.deferredSince, l.Model)
 		return false
 	}
-	since, known := g.passedBy[l.Model]
-	if !known || now.Sub(since) > nearForgotten {
-		g.passedBy[l.Model] = now
+	since, known := g.deferredSince[l.Model]
+	if !known || now.Sub(since) > deferralExpiry {
+		g.deferredSince[l.Model] = now
 		return true
 	}
-	return now.Sub(since) < nearPatience
+	return now.Sub(since) < storeDeferral
 }
 
-// kept is how many places are kept free for copies of busy models: many requests wait
-// for one of these, and one for a rare model.
-func (g *Gate) kept(l Load) int {
+// reservedSlots returns how many slots a load must leave free for copies of busy models. Many
+// requests wait for such a copy, but often only one for a rarely used model.
+func (g *Gate) reservedSlots(l Load) int {
 	if l.Grow {
 		return 0
 	}
 	return 1
 }
 
-// count returns the loads from the store and the growing copies of a model.
-func (g *Gate) count(model string) (store, growing int) {
-	for _, p := range g.running {
+// countLoads returns the number of loads from the store under way, and the number of copies that
+// are being added to a model.
+func (g *Gate) countLoads(model string) (store, growing int) {
+	for _, p := range g.permits {
 		if p.load.Store {
 			store++
 		}
@@ -142,44 +146,47 @@
 	return store, growing
 }
 
-// earliest is when the first of the running loads from the store is expected to end.
-func (g *Gate) earliest(now time.Time) time.Duration {
+// untilStoreSlot returns how long it is until the first of the running loads from the store is
+// expected to end, at least permitRetryDelay.
+func (g *Gate) untilStoreSlot(now time.Time) time.Duration {
 	best := time.Duration(0)
-	for _, p := range g.running {
-		if left := p.load.Usual - now.Sub(p.at); p.load.Store && left > 0 && (best == 0 || left < best) {
+	for _, p := range g.permits {
+		if left := p.load.Usual - now.Sub(p.grantedAt); p.load.Store && left > 0 && (best == 0 || left < best) {
 			best = left
 		}
 	}
-	return max(gatePause, best)
+	return max(permitRetryDelay, best)
 }
 
-// Done notes that a host's load of a model has ended, and learns from how long it
-// took. Of one that ended sooner than any load can, nothing is learnt: it never began.
+// Done records that a host's load of a model has ended, or will not begin, and adapts the limit on
+// concurrent loads to its duration. A load that ended within half its usual time never began and
+// does not change the limit.
 func (g *Gate) Done(host, model string, now time.Time) {
-	p, ok := g.running[host]
+	p, ok := g.permits[host]
 	if !ok || p.load.Model != model {
-		return // reported late: the host has asked for another since
+		return // late report: the host has a permit for another load by now, or none
 	}
-	delete(g.running, host)
-	if !p.load.Store || p.load.Usual <= 0 || now.Sub(p.at) < p.load.Usual/2 {
+	delete(g.permits, host)
+	if !p.load.Store || p.load.Usual <= 0 || now.Sub(p.grantedAt) < p.load.Usual/2 {
 		return
 	}
-	took := now.Sub(p.at).Seconds() / p.load.Usual.Seconds()
+	ratio := now.Sub(p.grantedAt).Seconds() / p.load.Usual.Seconds()
 	switch {
-	case took > slowTimes && p.beside > leastAtOnce:
-		g.most, g.slowed = max(leastAtOnce, min(g.most, p.beside-1)), now
-	case took < quickTimes && p.beside >= g.most-1 && now.Sub(g.slowed) > loadLife:
-		g.most = min(mostAtOnce, g.most+1)
+	case ratio > slowLoadRatio && p.concurrent > minStoreLimit:
+		g.storeLimit, g.lastSlowLoad = max(minStoreLimit, min(g.storeLimit, p.concurrent-1)), now
+	case ratio < fastLoadRatio && p.concurrent >= g.storeLimit-1 && now.Sub(g.lastSlowLoad) > permitTimeout:
+		g.storeLimit = min(maxStoreLimit, g.storeLimit+1)
 	}
 }
 
+// expire removes load starts that have left the window, and permits that have timed out.
 func (g *Gate) expire(now time.Time) {
-	for len(g.begun) > 0 && now.Sub(g.begun[0]) > g.window {
-		g.begun = g.begun[1:]
+	for len(g.storeLoadStarts) > 0 && now.Sub(g.storeLoadStarts[0]) > g.window {
+		g.storeLoadStarts = g.storeLoadStarts[1:]
 	}
-	for host, p := range g.running {
-		if now.Sub(p.at) > loadLife {
-			delete(g.running, host)
+	for host, p := range g.permits {
+		if now.Sub(p.grantedAt) > permitTimeout {
+			delete(g.permits, host)
 		}
 	}
 }
--- a/coord/residency/types.go
+++ b/coord/residency/types.go
@@ -2,85 +2,86 @@
 
 import "time"
 
-// Engine is what the configuration says about a service's targets.
+// Engine is the configuration of a service's targets.
 type Engine struct {
-	WeightsMb     float64 // room for weights and adapters
-	AdapterPlaces int
+	WeightsMb     float64 // memory for weights and adapters, in MB
+	AdapterPlaces int     // adapters that a target can hold at once
 	Models        map[string]Model
 }
 
-// Model is a model as the configuration describes it.
+// Model is the configuration of a model: memory in MB, and load times by where its weights are.
 type Model struct {
 	WeightsMb float64
 	AdapterMb float64
-	FromStore time.Duration // to load it from the weight store
-	FromDisk  time.Duration
-	FromHost  time.Duration // from the target's own memory
+	FromStore time.Duration // from the weight store
+	FromDisk  time.Duration // from the target's own disk
+	FromHost  time.Duration // from the memory of the target's host
 }
 
-// Report is what the target says of itself.
+// Report is the state of a target, as it reports it.
 type Report struct {
 	Instance string
-	Start    string              // names one start of the target: some start again under the same id
-	Busy     bool                // an order on a model is being carried out
-	Sequence uint64              // orders accepted since its start
-	Models   map[string][]string // adapters by model that it holds
-	Coming   map[string][]string // adapters by model on their way
-	InMemory []string
-	OnDisk   []string
-	Pressed  bool // it has more work than it runs at once, or nearly
+	Start    string              // identifies one start of the target: some restart under the same instance id
+	Busy     bool                // a load or unload of a model is under way
+	Sequence uint64              // number of orders accepted since its start
+	Models   map[string][]string // held models, each with its held adapters
+	Coming   map[string][]string // adapters that are being loaded, by model
+	InMemory []string            // models with weights in the host's memory
+	OnDisk   []string            // models with weights on the target's disk
+	Pressed  bool                // it is saturated: it has as much work as it can run at once, or nearly
 }
 
-// Demand is what the fleet's callers ask of a model.
+// Demand is the fleet-wide demand for a model.
 type Demand struct {
-	WorthPerSecond float64
-	Copies         int // targets that hold it
-	Pressed        int // of these, how many have more work than they run at once
+	WorthPerSecond float64 // total value of the requests per second
+	Copies         int     // targets that hold the model
+	Pressed        int     // how many of these are saturated
 }
 
-// Want is a request that waits for a model, or an adapter of it.
+// Want is a request that waits for a model or for an adapter of it.
 type Want struct {
 	ID      string
 	Model   string
-	Adapter string // empty: the model alone
-	Worth   float64
-	Until   time.Time // the longest that it waits
-	Retries bool      // where it is refused, its caller retries here
+	Adapter string    // empty: only the model is needed
+	Worth   float64   // value of serving the request
+	Until   time.Time // end of its wait
+	Retries bool      // if refused, its caller retries at this target
 }
 
-// Order is a change of what the target holds.
+// Order loads or unloads a model or an adapter.
 type Order struct {
-	Load     bool
+	Load     bool // false: unload
 	Model    string
-	Adapter  string
-	After    uint64 // sequence that the target must have
-	Instance string
-	// Store says that a load from the weight store, of the model For, is the reason:
-	// it needs a permit first. An unload that makes way for one needs it too, or the
-	// room would stand empty while the load waits for its permit.
+	Adapter  string // empty: the order is on the model itself
+	After    uint64 // the target refuses the order unless it has accepted exactly so many before
+	Instance string // the target instance that the order is for
+	// Store is true if the order loads the model For from the weight store, or makes room for
+	// such a load. Both need a permit. Without a permit for the unload, the room would stay
+	// unused while the load waits for its permit.
 	Store bool
-	For   string
-	// Grow says that the order makes one more copy of a model that others hold.
+	For   string // the model that is to be loaded, also where the order is an unload
+	// Grow is true if the order adds, or makes room for, one more copy of a model that other
+	// targets hold.
 	Grow bool
 }
 
-// Result is what became of an order.
+// Result is the result of an order.
 type Result int
 
-// The results.
+// Results of orders.
 const (
-	Accepted Result = iota // being carried out, or carried out
-	Holds                  // nothing to do
-	Refused                // not carried out: the target was busy or has another sequence
-	Rejected               // never will be
-	Unknown                // no answer: it may be carried out while its sequence holds
+	Accepted Result = iota // carried out, or under way
+	Holds                  // nothing to do: the target is in the ordered state already
+	Refused                // not carried out: the target is busy or has another sequence; may succeed later
+	Rejected               // not carried out, and never will be: the order is invalid or fenced
+	Unknown                // no answer: the target may still carry it out while its sequence is the expected one
 )
 
-// Verdict is the final word on a want.
+// Verdict ends the wait of a request.
 type Verdict struct {
 	ID         string
-	Held       bool
-	RetryAfter time.Duration // where it is not held: when it can be; 0: not known
-	Expected   bool          // it will be loaded for the retry
-	Reason     string
+	Held       bool          // the target holds the model, and the adapter if one is needed
+	RetryAfter time.Duration // if not held: forecast of when it can be; 0: not known
+	Expected   bool          // the model will be loaded for the caller's retry
+	Reason     string        // if not held: why, as text for the caller
 }
