--- a/coord/residency/growth.go
+++ b/coord/residency/growth.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Load pattern: the only copy of one model is saturated; another model has more demand, but enough copies.
+// Load pattern: one model's only copy is saturated; another model has more demand, but enough copies.
 // Without it: an agent unloads a model for the saturated one, loads the other one into the room and
 // returns its permit, and the next agent does the same: copies are lost and none is added.
 // Rule: room that an unload made for one more copy of a model is reserved for that copy.
--- a/coord/residency/growth_test.go
+++ b/coord/residency/growth_test.go
@@ -9,55 +9,56 @@
 	"cowsliptiller/coord/residency"
 )
 
-var _ = Describe("room for one more copy of a saturated model", func() {
+var _ = Describe("room reserved for one more copy of a saturated model", func() {
 	saturated := map[string]residency.Demand{
 		"c": {WorthPerSecond: 10, Copies: 1, Pressed: 1},
 		"d": {WorthPerSecond: 400, Copies: 8},
 	}
 
-	// Guards against copies that are unloaded for a model which is then not loaded.
-	It("goes to that model though another one is asked for more", func() {
-		t := newTarget("a", "b")
+	// Guards against unloading a copy to make room for a model that is then not loaded.
+	It("is used for that model though another one has more demand", func() {
+		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(saturated)
-		unload := t.next()
+		unload := t.takeOrder()
 		Expect(unload).To(And(HaveField("Load", false), HaveField("For", "c"), HaveField("Grow", true)))
-		t.done(unload)
-		load := t.next()
+		t.complete(unload)
+		load := t.takeOrder()
 		Expect(load).To(And(HaveField("Load", true), HaveField("Model", "c"), HaveField("Grow", true)))
-		t.done(load)
-		t.idle()
+		t.complete(load)
+		t.expectNoOrder()
 	})
 
-	// Guards against room that is kept after an order whose answer was lost.
-	It("goes to that model also where a report shows the unload", func() {
-		t := newTarget("a", "b")
+	// Guards against losing the reservation if the answer to the unload order was lost and only
+	// a report shows that it was carried out.
+	It("is used for that model also if the unload is seen in a report only", func() {
+		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(saturated)
-		unload := t.next()
+		unload := t.takeOrder()
 		t.keeper.Answered(unload, residency.Unknown, t.now)
 		t.report.Sequence++
 		t.now = t.now.Add(200 * time.Millisecond)
 		delete(t.report.Models, unload.Model)
 		t.observe()
-		Expect(t.next()).To(HaveField("Model", "c"))
+		Expect(t.takeOrder()).To(HaveField("Model", "c"))
 	})
 
-	// Guards against room that stands empty for a model that is not asked for any more.
-	It("is free again after a time", func() {
-		t := newTarget("a", "b")
+	// Guards against room that stays unused after the model's demand has ended.
+	It("is released after a timeout", func() {
+		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(saturated)
-		t.done(t.next())
+		t.complete(t.takeOrder())
 		t.now = t.now.Add(10 * time.Second)
-		Expect(t.next()).To(HaveField("Model", "d"))
+		Expect(t.takeOrder()).To(HaveField("Model", "d"))
 	})
 
-	It("goes to a model that a request waits for", func() {
-		t := newTarget("a", "b")
+	It("is used for a model that a request waits for", func() {
+		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(saturated)
-		t.done(t.next())
-		_, over := t.add("1", "a", "", 1)
-		Expect(over).To(BeFalse())
-		load := t.next()
+		t.complete(t.takeOrder())
+		_, resolved := t.addWaiter("1", "a", "", 1)
+		Expect(resolved).To(BeFalse())
+		load := t.takeOrder()
 		Expect(load).To(HaveField("Model", "a"))
-		t.done(load)
+		t.complete(load)
 	})
 })
--- a/coord/residency/keeper.go
+++ b/coord/residency/keeper.go
@@ -12,22 +12,23 @@
 	engine          Engine
 	demand          map[string]Demand
 	report          Report
-	hasReport       bool                      // at least one report was observed
-	waiters         map[string]*Want          // by ID
-	retries         map[string][]retry        // by model
-	pending         *pendingOrder             // the order that was sent and whose result is not known
-	loading         map[string]loadInProgress // accepted loads by model, until a report shows their end
-	lastWanted      map[string]time.Time      // by model or model/adapter: when a request last asked for it
-	keepUntil       map[string]time.Time      // by model: it is not evicted before
-	nextOrderAt     time.Time                 // no order is sent before
-	storeBusyUntil  time.Time                 // the weight store accepts no load for this target before
-	unloadRefusedAt map[string]time.Time      // by model/adapter: when its unload was refused, as it is in use
-	reserved        reservation               // room reserved for one more copy
+	hasReport       bool                  // at least one report was observed
+	waiters         map[string]*Want      // by ID
+	retries         map[string][]retry    // by model
+	pending         *pendingOrder         // the order that was sent and whose result is not known
+	loading         map[string]activeLoad // accepted loads by model, until a report shows their end
+	lastWanted      map[string]time.Time  // by model or model/adapter: when a request last asked for it
+	keepUntil       map[string]time.Time  // by model: it is not evicted before
+	nextOrderAt     time.Time             // no order is sent before
+	storeBusyUntil  time.Time             // the weight store accepts no load for this target before
+	unloadRefusedAt map[string]time.Time  // by model/adapter: when its unload was refused, as it is in use
+	reserved        reservation           // room reserved for one more copy
 }
 
-type loadInProgress struct {
-	startedAt time.Time
-	expected  time.Duration
+// activeLoad is a load of a model that was accepted and has not ended.
+type activeLoad struct {
+	start    time.Time
+	expected time.Duration
 }
 
 // pendingOrder is an order that was sent and whose result is not known.
@@ -48,9 +49,9 @@
 	// the value of the requests for another one. It is about the time that replacing a model
 	// takes: the unload, which waits for running requests, and a load from disk.
 	valueHorizon = 3 * time.Second
-	// orderOverhead is added to load times in forecasts. It covers the order itself, the report
+	// orderDelay is added to load times in forecasts. It covers the order itself, the report
 	// that shows the end of the load, and the request's transfer to the target.
-	orderOverhead = 150 * time.Millisecond
+	orderDelay = 150 * time.Millisecond
 	// typicalUnloadWait is how long an unload usually waits for running requests to finish.
 	typicalUnloadWait = time.Second
 )
@@ -58,7 +59,7 @@
 // NewKeeper returns a Keeper that gives no orders until it has a configuration and a report.
 func NewKeeper() *Keeper {
 	return &Keeper{
-		demand: map[string]Demand{}, waiters: map[string]*Want{}, retries: map[string][]retry{}, loading: map[string]loadInProgress{},
+		demand: map[string]Demand{}, waiters: map[string]*Want{}, retries: map[string][]retry{}, loading: map[string]activeLoad{},
 		lastWanted: map[string]time.Time{}, keepUntil: map[string]time.Time{}, unloadRefusedAt: map[string]time.Time{},
 	}
 }
@@ -120,7 +121,7 @@
 	k.pending = nil
 	k.reserve(o, now)
 	if o.Load && o.Adapter == "" && k.report.Busy {
-		k.loading[o.Model] = loadInProgress{now, k.loadTime(o.Model)}
+		k.loading[o.Model] = activeLoad{now, k.loadTime(o.Model)}
 	}
 }
 
@@ -259,7 +260,7 @@
 		k.report.Models[o.Model] = without(k.report.Models[o.Model], o.Adapter)
 	case o.Load:
 		k.report.Busy = true
-		k.loading[o.Model] = loadInProgress{now, k.loadTime(o.Model)}
+		k.loading[o.Model] = activeLoad{now, k.loadTime(o.Model)}
 	default:
 		k.report.Busy = true
 		k.nextOrderAt = now.Add(refusalDelay)
@@ -299,12 +300,12 @@
 // forecast returns how long it will take, in the current state, until a waiting request can run.
 func (k *Keeper) forecast(w Want, now time.Time) time.Duration {
 	if _, held := k.report.Models[w.Model]; held {
-		return orderOverhead
+		return orderDelay
 	}
 	if l, loading := k.loading[w.Model]; loading {
-		return l.remaining(now) + orderOverhead
+		return l.left(now) + orderDelay
 	}
-	wait := orderOverhead + k.loadingRemaining(now)
+	wait := orderDelay + k.loadingRemaining(now)
 	for _, model := range k.modelsToLoad() {
 		if model == w.Model {
 			break
@@ -320,16 +321,14 @@
 	return wait + k.loadTime(w.Model)
 }
 
-// remaining returns how much longer a load is expected to take.
-func (l loadInProgress) remaining(now time.Time) time.Duration {
-	return max(0, l.expected-now.Sub(l.startedAt))
-}
+// left returns how much longer a load is expected to take.
+func (l activeLoad) left(now time.Time) time.Duration { return max(0, l.expected-now.Sub(l.start)) }
 
 // loadingRemaining returns how much longer the loads under way are expected to take.
 func (k *Keeper) loadingRemaining(now time.Time) time.Duration {
 	sum := time.Duration(0)
 	for _, l := range k.loading {
-		sum += l.remaining(now)
+		sum += l.left(now)
 	}
 	return sum
 }
@@ -390,12 +389,10 @@
 	}
 	models := slices.Sorted(maps.Keys(value))
 	slices.SortStableFunc(models, func(a, b string) int {
-		return cmp.Compare(value[b]/k.loadSeconds(b), value[a]/k.loadSeconds(a))
+		return cmp.Compare(value[b]/k.cost(b), value[a]/k.cost(a))
 	})
 	return models
 }
 
-// loadSeconds returns the expected time to load a model, with the overhead of the order, in seconds.
-func (k *Keeper) loadSeconds(model string) float64 {
-	return (k.loadTime(model) + orderOverhead).Seconds()
-}
+// cost returns the expected time to load a model, with the overhead of the order, in seconds.
+func (k *Keeper) cost(model string) float64 { return (k.loadTime(model) + orderDelay).Seconds() }
--- a/coord/residency/keeper_test.go
+++ b/coord/residency/keeper_test.go
@@ -16,16 +16,16 @@
 	RunSpecs(t, "residency")
 }
 
-// target is a target with room for two models and two adapters, which carries out
-// an order when the test says so.
-type target struct {
+// fakeTarget simulates a target with room for two models and two adapters. It carries out an
+// order when the test calls complete.
+type fakeTarget struct {
 	keeper *residency.Keeper
 	report residency.Report
 	now    time.Time
 }
 
-func newTarget(holds ...string) *target {
-	t := &target{keeper: residency.NewKeeper(), now: time.Unix(1000, 0)}
+func newFakeTarget(holds ...string) *fakeTarget {
+	t := &fakeTarget{keeper: residency.NewKeeper(), now: time.Unix(1000, 0)}
 	models := map[string]residency.Model{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		models[name] = residency.Model{
@@ -42,15 +42,15 @@
 	return t
 }
 
-func (t *target) observe() []residency.Verdict { return t.keeper.Observe(t.report, t.now) }
+func (t *fakeTarget) observe() []residency.Verdict { return t.keeper.Observe(t.report, t.now) }
 
-func (t *target) add(id, model, adapter string, worth float64) (residency.Verdict, bool) {
+func (t *fakeTarget) addWaiter(id, model, adapter string, worth float64) (residency.Verdict, bool) {
 	w := residency.Want{ID: id, Model: model, Adapter: adapter, Worth: worth, Until: t.now.Add(10 * time.Second)}
 	return t.keeper.Add(w, t.now)
 }
 
-// next expects an order and notes it as sent.
-func (t *target) next() residency.Order {
+// takeOrder expects that an order is due and marks it as sent.
+func (t *fakeTarget) takeOrder() residency.Order {
 	GinkgoHelper()
 	o, ok := t.keeper.Next(t.now)
 	Expect(ok).To(BeTrue(), "an order is due")
@@ -58,14 +58,15 @@
 	return o
 }
 
-func (t *target) idle() {
+// expectNoOrder expects that no order is due.
+func (t *fakeTarget) expectNoOrder() {
 	GinkgoHelper()
 	o, ok := t.keeper.Next(t.now)
 	Expect(ok).To(BeFalse(), "no order is due, got %+v", o)
 }
 
-// done carries an accepted order out and reports it.
-func (t *target) done(o residency.Order) []residency.Verdict {
+// complete accepts and carries out an order, and returns the verdicts of the next report.
+func (t *fakeTarget) complete(o residency.Order) []residency.Verdict {
 	t.keeper.Answered(o, residency.Accepted, t.now)
 	t.report.Sequence++
 	switch {
@@ -82,165 +83,163 @@
 	return t.observe()
 }
 
-var _ = Describe("a target's keeper", func() {
-	It("loads a wanted model into free room and settles all that wait for it", func() {
-		t := newTarget()
-		_, over := t.add("1", "a", "", 1)
-		Expect(over).To(BeFalse())
-		t.add("2", "a", "", 1)
-		o := t.next()
+var _ = Describe("loads and unloads of a target", func() {
+	It("loads a requested model into free room and ends the wait of all requests for it", func() {
+		t := newFakeTarget()
+		_, resolved := t.addWaiter("1", "a", "", 1)
+		Expect(resolved).To(BeFalse())
+		t.addWaiter("2", "a", "", 1)
+		o := t.takeOrder()
 		Expect(o).To(Equal(residency.Order{Load: true, Model: "a", Instance: "i-1", Store: true, For: "a"}))
-		Expect(t.done(o)).To(ConsistOf(residency.Verdict{ID: "1", Held: true}, residency.Verdict{ID: "2", Held: true}))
-		t.idle()
+		Expect(t.complete(o)).To(ConsistOf(residency.Verdict{ID: "1", Held: true}, residency.Verdict{ID: "2", Held: true}))
+		t.expectNoOrder()
 	})
 
-	It("says at once that a held model is held, and that an unknown one cannot be", func() {
-		t := newTarget("a")
-		v, over := t.add("1", "a", "", 1)
-		Expect(over).To(BeTrue())
+	It("answers at once for a held model, and refuses one that is not configured", func() {
+		t := newFakeTarget("a")
+		v, resolved := t.addWaiter("1", "a", "", 1)
+		Expect(resolved).To(BeTrue())
 		Expect(v.Held).To(BeTrue())
-		v, over = t.add("2", "nowhere", "", 1)
-		Expect(over).To(BeTrue())
+		v, resolved = t.addWaiter("2", "nowhere", "", 1)
+		Expect(resolved).To(BeTrue())
 		Expect(v.Held).To(BeFalse())
 	})
 
-	// A caller waits ten seconds for a model behind two loads from the store, and is
-	// refused only then: it could have been told at once, and come back in time.
-	It("refuses at once what would be ready too late, and says when it is", func() {
-		t := newTarget()
-		t.add("1", "a", "", 5)
-		t.add("2", "b", "", 5)
-		v, over := t.add("3", "c", "", 1)
-		Expect(over).To(BeTrue())
+	// Guards against refusing a caller only after its wait: behind two loads from the store the
+	// model cannot be ready within 10 s, so an immediate refusal lets the caller retry in time.
+	It("refuses at once a request that would be ready too late, with the expected time", func() {
+		t := newFakeTarget()
+		t.addWaiter("1", "a", "", 5)
+		t.addWaiter("2", "b", "", 5)
+		v, resolved := t.addWaiter("3", "c", "", 1)
+		Expect(resolved).To(BeTrue())
 		Expect(v.Held).To(BeFalse())
 		Expect(v.RetryAfter).To(BeNumerically(">", 10*time.Second))
 	})
 
-	// Four targets load from the store, and it takes no fifth. A caller of another
-	// model waited ten seconds and was refused then.
-	It("refuses at once what the busy store makes too late, and says when it can be", func() {
-		t := newTarget()
-		t.add("1", "a", "", 1)
+	// Guards against refusing a caller only after a wait of 10 s, because the store serves four
+	// loads already and accepts no fifth.
+	It("refuses at once a request that a busy store delays too long, with the expected time", func() {
+		t := newFakeTarget()
+		t.addWaiter("1", "a", "", 1)
 		Expect(t.keeper.StoreBusy(2*time.Second, t.now)).To(BeEmpty())
 		v := t.keeper.StoreBusy(5*time.Second, t.now)
 		Expect(v).To(HaveLen(1))
 		Expect(v[0]).To(And(HaveField("ID", "1"), HaveField("Held", false), HaveField("RetryAfter", 11*time.Second)))
 		t.report.OnDisk = []string{"b"}
 		t.observe()
-		_, over := t.add("2", "b", "", 1)
-		Expect(over).To(BeFalse(), "a model on the target's disk needs no store")
+		_, resolved := t.addWaiter("2", "b", "", 1)
+		Expect(resolved).To(BeFalse(), "a model on the target's disk needs no load from the store")
 	})
 
-	It("drops the model that the fleet's callers ask for least", func() {
-		t := newTarget("a", "b")
+	It("evicts the model with the least demand in the fleet", func() {
+		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 5, Copies: 1}, "b": {WorthPerSecond: 0.1, Copies: 1}})
-		t.add("1", "c", "", 1)
-		o := t.next()
+		t.addWaiter("1", "c", "", 1)
+		o := t.takeOrder()
 		Expect(o.Load).To(BeFalse())
 		Expect(o.Model).To(Equal("b"))
 	})
 
-	// Two busy models fill a target. One request for a rare model comes; dropping
-	// either would send hundreds of requests elsewhere or to the store.
-	It("keeps the only copies of busy models when a single request wants another", func() {
-		t := newTarget("a", "b")
+	// Guards against evicting a busy model for one request for a rarely used model, which would
+	// move hundreds of requests to other targets or cause another load from the store.
+	It("keeps the only copies of busy models when a single request needs another model", func() {
+		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 20, Copies: 1}, "b": {WorthPerSecond: 20, Copies: 1}})
-		t.add("1", "c", "", 1)
-		t.idle()
+		t.addWaiter("1", "c", "", 1)
+		t.expectNoOrder()
 	})
 
-	It("gives up a copy of a busy model that many targets hold", func() {
-		t := newTarget("a", "b")
+	It("evicts a copy of a busy model that many targets hold", func() {
+		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 20, Copies: 9}, "b": {WorthPerSecond: 20, Copies: 1}})
-		t.add("1", "c", "", 1)
-		Expect(t.next().Model).To(Equal("a"))
+		t.addWaiter("1", "c", "", 1)
+		Expect(t.takeOrder().Model).To(Equal("a"))
 	})
 
-	It("leaves a model that has just been loaded for the requests that waited", func() {
-		t := newTarget("b")
-		t.add("1", "a", "", 1)
-		t.done(t.next())
+	It("keeps a model that has just been loaded for the requests that waited for it", func() {
+		t := newFakeTarget("b")
+		t.addWaiter("1", "a", "", 1)
+		t.complete(t.takeOrder())
 		t.keeper.SetDemand(map[string]residency.Demand{"b": {WorthPerSecond: 100, Copies: 1}})
-		t.add("2", "c", "", 50)
-		t.idle()
+		t.addWaiter("2", "c", "", 50)
+		t.expectNoOrder()
 		t.now = t.now.Add(2 * time.Second)
 		t.observe()
-		Expect(t.next()).To(HaveField("Model", "a"))
+		Expect(t.takeOrder()).To(HaveField("Model", "a"))
 	})
 
-	// While a model was being loaded the agent ordered adapters; the target refused
-	// each of them, ten a second, for as long as the load took.
-	It("gives no order at all while the target is busy with one", func() {
-		t := newTarget("a")
+	// Guards against orders on adapters during the load of a model. The target refused each of
+	// them, ten per second, for the whole load.
+	It("gives no order while the target is busy with one", func() {
+		t := newFakeTarget("a")
 		t.report.Busy = true
 		t.observe()
-		t.add("1", "a", "x", 1)
-		t.idle()
+		t.addWaiter("1", "a", "x", 1)
+		t.expectNoOrder()
 		t.report.Busy = false
 		t.observe()
-		Expect(t.next()).To(HaveField("Adapter", "x"))
+		Expect(t.takeOrder()).To(HaveField("Adapter", "x"))
 	})
 
-	// All places for adapters are taken, one by an adapter that a long stream uses.
-	// The target refuses to drop that one, and the agent asked for it again and
-	// again while another adapter lay idle.
-	It("drops another adapter when the target refuses to drop one that is in use", func() {
-		t := newTarget("a")
+	// Guards against repeating the unload of an adapter that a long stream uses, which the target
+	// refuses, while another adapter is idle and could be unloaded.
+	It("unloads another adapter when the target refuses to unload one that is in use", func() {
+		t := newFakeTarget("a")
 		t.report.Models["a"] = []string{"x", "y"}
 		t.observe()
-		t.add("1", "a", "z", 1)
-		first := t.next()
+		t.addWaiter("1", "a", "z", 1)
+		first := t.takeOrder()
 		Expect(first.Load).To(BeFalse())
 		t.keeper.Answered(first, residency.Refused, t.now)
-		second := t.next()
+		second := t.takeOrder()
 		Expect(second.Load).To(BeFalse())
 		Expect(second.Adapter).NotTo(Equal(first.Adapter))
 	})
 
-	// An order gets no answer and is carried out seconds later. If the agent gave
-	// another one meanwhile on the same state, both would be carried out and the
-	// target would hold more than fits: it crashes.
-	It("sends an order without an answer again, unchanged, until the sequence moves", func() {
-		t := newTarget()
-		t.add("1", "a", "", 1)
-		o := t.next()
+	// Guards against exceeding the target's memory, which crashes it: an order without an answer is
+	// carried out seconds later, after another order that was based on the same state.
+	It("repeats an unanswered order unchanged until the sequence advances", func() {
+		t := newFakeTarget()
+		t.addWaiter("1", "a", "", 1)
+		o := t.takeOrder()
 		t.keeper.Answered(o, residency.Unknown, t.now)
-		t.add("2", "b", "", 100)
+		t.addWaiter("2", "b", "", 100)
 		t.now = t.now.Add(150 * time.Millisecond)
-		Expect(t.next()).To(Equal(o))
+		Expect(t.takeOrder()).To(Equal(o))
 		t.keeper.Answered(o, residency.Refused, t.now)
 		t.report.Sequence, t.report.Busy = 1, true
 		t.observe()
-		t.idle()
+		t.expectNoOrder()
 	})
 
-	It("forgets what an earlier start of the target held", func() {
-		t := newTarget("a")
-		t.add("1", "b", "", 1)
-		t.keeper.Answered(t.next(), residency.Unknown, t.now)
+	It("discards the state from before a restart of the target", func() {
+		t := newFakeTarget("a")
+		t.addWaiter("1", "b", "", 1)
+		t.keeper.Answered(t.takeOrder(), residency.Unknown, t.now)
 		t.report = residency.Report{Instance: "i-1", Start: "i-1@2", Models: map[string][]string{}}
 		t.observe()
 		t.now = t.now.Add(150 * time.Millisecond)
-		Expect(t.next()).To(Equal(residency.Order{Load: true, Model: "b", Instance: "i-1", Store: true, For: "b"}))
+		Expect(t.takeOrder()).To(Equal(residency.Order{Load: true, Model: "b", Instance: "i-1", Store: true, For: "b"}))
 	})
 
-	It("fills a target that stands empty with the model whose next copy is worth most", func() {
-		t := newTarget()
+	It("fills an empty target with the model whose next copy has the highest value", func() {
+		t := newFakeTarget()
 		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 30, Copies: 1}, "b": {WorthPerSecond: 60, Copies: 5}})
-		Expect(t.next()).To(HaveField("Model", "a"))
+		Expect(t.takeOrder()).To(HaveField("Model", "a"))
 	})
 
-	It("never has ordered more than the target has room for", func() {
-		t := newTarget("a", "b")
+	It("never orders more than the target has room for", func() {
+		t := newFakeTarget("a", "b")
 		for i, m := range []string{"c", "d", "c", "d"} {
-			t.add(string(rune('0'+i)), m, "", 100)
+			t.addWaiter(string(rune('0'+i)), m, "", 100)
 			for range 6 {
 				o, ok := t.keeper.Next(t.now)
 				if !ok {
 					break
 				}
 				t.keeper.Sent(o)
-				t.done(o)
+				t.complete(o)
 				Expect(len(t.report.Models)).To(BeNumerically("<=", 2))
 			}
 			t.now = t.now.Add(2 * time.Second)
@@ -248,58 +247,58 @@
 	})
 })
 
-var _ = Describe("a busy model's further copies", func() {
-	pressed := map[string]residency.Demand{
+var _ = Describe("additional copies of a busy model", func() {
+	saturated := map[string]residency.Demand{
 		"c": {WorthPerSecond: 40, Copies: 1, Pressed: 1}, "a": {WorthPerSecond: 0.2, Copies: 1}, "b": {WorthPerSecond: 3, Copies: 1},
 	}
 
-	// Demand moves to a model that one target holds. Its queue grows past its
-	// callers' patience; no request asks for a second copy, since the model is held.
-	It("are made by a target at ease in place of what is hardly asked for", func() {
-		t := newTarget("a", "b")
-		t.keeper.SetDemand(pressed)
-		o := t.next()
+	// Guards against a queue that exceeds its callers' deadlines after demand moved to a model
+	// that one target holds: no request waits for a second copy, since the model is held.
+	It("are added by a target below capacity in place of a model with little demand", func() {
+		t := newFakeTarget("a", "b")
+		t.keeper.SetDemand(saturated)
+		o := t.takeOrder()
 		Expect(o).To(Equal(residency.Order{Model: "a", Instance: "i-1", Store: true, For: "c", Grow: true}))
-		t.done(o)
-		load := t.next()
+		t.complete(o)
+		load := t.takeOrder()
 		Expect(load).To(And(HaveField("Model", "c"), HaveField("Grow", true), HaveField("Load", true)))
 	})
 
-	It("are not made while one of its copies has room, nor by a target that is pressed itself", func() {
-		t := newTarget("a", "b")
+	It("are not added while one of its copies has capacity, nor by a target that is saturated itself", func() {
+		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(map[string]residency.Demand{"c": {WorthPerSecond: 40, Copies: 2, Pressed: 1}})
-		t.idle()
-		t.keeper.SetDemand(pressed)
+		t.expectNoOrder()
+		t.keeper.SetDemand(saturated)
 		t.report.Pressed = true
 		t.observe()
-		t.idle()
+		t.expectNoOrder()
 	})
 
-	It("do not take the place of a model that is as busy", func() {
-		t := newTarget("a", "b")
+	It("do not replace a model that is as busy", func() {
+		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(map[string]residency.Demand{
 			"c": {WorthPerSecond: 40, Copies: 1, Pressed: 1}, "a": {WorthPerSecond: 40, Copies: 1, Pressed: 1}, "b": {WorthPerSecond: 30, Copies: 1},
 		})
-		t.idle()
+		t.expectNoOrder()
 	})
 })
 
-var _ = Describe("the gate to the weight store", func() {
+var _ = Describe("the limit on loads from the weight store", func() {
 	now := time.Unix(1000, 0)
 	rare := residency.Load{Model: "rare", Store: true, Usual: 6 * time.Second}
 
-	// A new leader permits a full window of loads right after its predecessor did:
-	// the store gets twice what it allows.
-	It("takes the window for full when it is new", func() {
+	// Guards against twice the permitted loads in one window, when a new leader permits a full
+	// window right after its predecessor did.
+	It("starts with a full window", func() {
 		g := residency.NewGate(2, 5*time.Second, now)
-		ok, again := g.Ask("h1", rare, now)
+		ok, retryAfter := g.Ask("h1", rare, now)
 		Expect(ok).To(BeFalse())
-		Expect(again).To(BeNumerically(">", 0))
+		Expect(retryAfter).To(BeNumerically(">", 0))
 		ok, _ = g.Ask("h1", rare, now.Add(time.Second))
 		Expect(ok).To(BeTrue())
 	})
 
-	It("never lets more begin in any window than the store allows", func() {
+	It("never permits more loads in any window than the store allows", func() {
 		g := residency.NewGate(2, 5*time.Second, now)
 		var begun []time.Time
 		for i := range 400 {
@@ -321,23 +320,23 @@
 		}
 	})
 
-	It("keeps a place free for a busy model's copy, and lets overdue loads go", func() {
+	It("reserves a slot for a copy of a busy model, and drops permits that timed out", func() {
 		g := residency.NewGate(100, 5*time.Second, now)
 		at := now.Add(6 * time.Second)
 		for _, h := range []string{"h1", "h2"} {
 			ok, _ := g.Ask(h, rare, at)
 			Expect(ok).To(BeTrue())
 		}
-		ok, again := g.Ask("h3", rare, at)
+		ok, retryAfter := g.Ask("h3", rare, at)
 		Expect(ok).To(BeFalse())
-		Expect(again).To(Equal(6 * time.Second))
+		Expect(retryAfter).To(Equal(6 * time.Second))
 		ok, _ = g.Ask("h4", residency.Load{Model: "busy", Store: true, Grow: true, Copies: 1}, at)
 		Expect(ok).To(BeTrue())
 		ok, _ = g.Ask("h5", rare, at.Add(time.Minute))
 		Expect(ok).To(BeTrue())
 	})
 
-	It("lets a model at most double at a time", func() {
+	It("lets the copies of a model at most double at a time", func() {
 		g := residency.NewGate(100, 5*time.Second, now)
 		grow := residency.Load{Model: "busy", Grow: true, Copies: 2}
 		ok, _ := g.Ask("h1", grow, now)
@@ -348,10 +347,10 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	// Demand moves back to a model that was busy before. Targets that have it on their
-	// disk ask a moment after one that has not: its load from the store kept them from
-	// growing the model for six seconds, while callers were refused for its queue.
-	It("leaves the growth of a model to targets that have a copy at hand", func() {
+	// Guards against a load from the store that blocks other copies of a model for 6 s, while its
+	// queue refuses callers. It was permitted because a target without the weights on its disk
+	// asked just before those that have them.
+	It("defers to targets that have the weights of a growing model on their disks", func() {
 		g := residency.NewGate(100, 5*time.Second, now)
 		far := residency.Load{Model: "busy", Store: true, Grow: true, Copies: 1, Near: 2}
 		near := residency.Load{Model: "busy", Grow: true, Copies: 1, Near: 2}
@@ -361,9 +360,9 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	// The targets that have a copy cannot load it: they hold what is worth more. The
-	// model's callers must not wait for them for good.
-	It("takes the store for a model that no nearer target loads", func() {
+	// Guards against deferring forever to targets that have the weights but hold models of a higher
+	// value, and so never load this one.
+	It("permits a load from the store if no target with the weights loads the model", func() {
 		g := residency.NewGate(100, 5*time.Second, now)
 		far := residency.Load{Model: "busy", Store: true, Grow: true, Copies: 1, Near: 2}
 		granted := time.Duration(-1)
@@ -375,10 +374,9 @@
 		Expect(granted).To(And(BeNumerically(">", 0), BeNumerically("<=", 2*time.Second)))
 	})
 
-	// An agent gives a permit back that it did not use. Told of it as of a load that
-	// ended at once, control would take the store for faster than it is; and a word
-	// that comes late must not end the load that was permitted since.
-	It("learns nothing from a load that did not begin, and takes a late word for what it is", func() {
+	// Guards against counting a returned, unused permit as a very fast load, which would raise the
+	// limit too far, and against a late report that ends a load permitted since.
+	It("ignores the duration of a load that did not begin, and a late report", func() {
 		g := residency.NewGate(100, 5*time.Second, now)
 		at := now.Add(6 * time.Second)
 		for i := range 6 {
@@ -394,9 +392,9 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	// The store serves two at full speed. Six at once would each take three times as
-	// long, and the first model would be there as late as the last.
-	It("learns from how long loads take how many may run beside each other", func() {
+	// Guards against too many concurrent loads: if the store serves two at full speed, each of six
+	// takes three times as long, and the first model is ready as late as the last.
+	It("adapts the number of concurrent loads to how long they take", func() {
 		g := residency.NewGate(100, 5*time.Second, now)
 		at := now.Add(6 * time.Second)
 		for _, h := range []string{"h1", "h2"} {
--- a/coord/residency/retries_test.go
+++ b/coord/residency/retries_test.go
@@ -10,78 +10,80 @@
 	"cowsliptiller/coord/residency"
 )
 
-// shortWait is less than an unload and a load from disk take.
+// shortWait is shorter than an unload and a load from disk.
 const shortWait = 1500 * time.Millisecond
 
-func (t *target) refuse(id, model string, retries bool) residency.Verdict {
+// expectRefused adds a request with a short wait and expects that it is refused at once.
+func (t *fakeTarget) expectRefused(id, model string, retries bool) residency.Verdict {
 	GinkgoHelper()
 	w := residency.Want{ID: id, Model: model, Worth: 1, Until: t.now.Add(shortWait), Retries: retries}
-	v, over := t.keeper.Add(w, t.now)
-	Expect(over).To(BeTrue())
+	v, resolved := t.keeper.Add(w, t.now)
+	Expect(resolved).To(BeTrue())
 	Expect(v.Held).To(BeFalse())
 	return v
 }
 
-var _ = Describe("demand that moves to a model which no target holds", func() {
-	// Guards against refusing all callers of a model that nobody may wait for.
+var _ = Describe("demand that moves to a model that no target holds", func() {
+	// Guards against refusing every caller of a model that is never loaded, because none of them
+	// can wait long enough.
 	It("loads the model for the retries of refused callers", func() {
-		t := newTarget("a", "b")
+		t := newFakeTarget("a", "b")
 		t.report.OnDisk = []string{"c"}
 		t.observe()
-		v := t.refuse("1", "c", true)
+		v := t.expectRefused("1", "c", true)
 		Expect(v.Expected).To(BeTrue())
 		retry := t.now.Add(v.RetryAfter)
-		unload := t.next()
+		unload := t.takeOrder()
 		Expect(unload).To(And(HaveField("Load", false), HaveField("For", "c")))
-		t.done(unload)
-		load := t.next()
+		t.complete(unload)
+		load := t.takeOrder()
 		Expect(load).To(And(HaveField("Load", true), HaveField("Model", "c")))
-		t.done(load)
+		t.complete(load)
 		Expect(t.now).To(BeTemporally("<=", retry))
-		v, over := t.add("2", "c", "", 1)
-		Expect(over).To(BeTrue())
+		v, resolved := t.addWaiter("2", "c", "", 1)
+		Expect(resolved).To(BeTrue())
 		Expect(v.Held).To(BeTrue())
-		t.idle()
+		t.expectNoOrder()
 	})
 
-	// Guards against loads of one model at all targets that refused a caller.
+	// Guards against loading a model at every target that refused a caller: only one gets the retry.
 	It("loads nothing where no retry is expected", func() {
-		t := newTarget("a", "b")
+		t := newFakeTarget("a", "b")
 		t.report.OnDisk = []string{"c"}
 		t.observe()
-		Expect(t.refuse("1", "c", false).Expected).To(BeFalse())
-		t.idle()
+		Expect(t.expectRefused("1", "c", false).Expected).To(BeFalse())
+		t.expectNoOrder()
 	})
 
-	// Guards against loads for callers that do not retry.
-	It("forgets retries whose time is over", func() {
-		t := newTarget("a", "b")
+	// Guards against loading models for callers that did not retry.
+	It("expires retries that did not come", func() {
+		t := newFakeTarget("a", "b")
 		t.report.OnDisk = []string{"c"}
 		t.observe()
-		v := t.refuse("1", "c", true)
+		v := t.expectRefused("1", "c", true)
 		t.now = t.now.Add(v.RetryAfter + 2*time.Second)
 		t.keeper.Tick(t.now)
-		t.idle()
+		t.expectNoOrder()
 	})
 
-	// Guards against a weight store that is occupied by models which one caller asked for.
-	It("loads from the weight store for several retries only", func() {
-		t := newTarget("a", "b")
-		Expect(t.refuse("1", "d", true).Expected).To(BeFalse())
-		t.idle()
+	// Guards against occupying the weight store with models that a single caller asked for.
+	It("loads from the weight store only for several expected retries", func() {
+		t := newFakeTarget("a", "b")
+		Expect(t.expectRefused("1", "d", true).Expected).To(BeFalse())
+		t.expectNoOrder()
 		for i := range 2 {
-			t.refuse(fmt.Sprint(i), "d", true)
+			t.expectRefused(fmt.Sprint(i), "d", true)
 		}
-		Expect(t.next()).To(And(HaveField("Load", false), HaveField("For", "d"), HaveField("Store", true)))
+		Expect(t.takeOrder()).To(And(HaveField("Load", false), HaveField("For", "d"), HaveField("Store", true)))
 	})
 
-	// Guards against a busy model that makes way for one retry.
-	It("keeps a model whose callers are worth more", func() {
-		t := newTarget("a", "b")
+	// Guards against evicting a busy model for one retry.
+	It("keeps a model whose demand has a higher value", func() {
+		t := newFakeTarget("a", "b")
 		t.report.OnDisk = []string{"c"}
 		t.observe()
 		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 5, Copies: 1}, "b": {WorthPerSecond: 5, Copies: 1}})
-		t.refuse("1", "c", true)
-		t.idle()
+		t.expectRefused("1", "c", true)
+		t.expectNoOrder()
 	})
 })
--- a/coord/residency/store.go
+++ b/coord/residency/store.go
@@ -8,8 +8,8 @@
 // Load pattern: a shift of demand makes many targets load from the store at once.
 // Without it: above the store's capacity all loads slow down in proportion and finish late together,
 // or more loads begin in a window than the platform allows.
-// Rule: the control leader grants permits. A new leader, which lacks the permits of its predecessor,
-// assumes a full window.
+// Rule: one Gate, at the control leader, grants permits. A new leader, which lacks its predecessor's
+// permits, assumes a full window.
 type Gate struct {
 	perSecond       float64 // limit on the loads from the store that begin, as a mean over window
 	window          time.Duration
@@ -78,7 +78,7 @@
 }
 
 // Ask grants a host a permit for a load, or returns the delay before it should ask again.
-func (g *Gate) Ask(host string, l Load, now time.Time) (granted bool, again time.Duration) {
+func (g *Gate) Ask(host string, l Load, now time.Time) (granted bool, retryAfter time.Duration) {
 	g.expire(now)
 	delete(g.permits, host) // a host loads one model at a time: its earlier load has ended
 	store, growing := g.countLoads(l.Model)
@@ -106,8 +106,8 @@
 // now, so that a target with the weights in memory or on disk can add the copy instead.
 //
 // Load pattern: demand returns to a model whose weights are still on the disks of several targets.
-// Without it: a target without them asks first, and its load from the store takes the only growth that
-// the model may have, for 6 s in which loads from disk could have added four copies.
+// Without it: a target without them asks first, and its load from the store uses up the model's
+// allowed growth for 6 s, in which loads from disk could have added four copies.
 // Rule: refuse growth from the store for storeDeferral, then allow it, as the other targets may be
 // occupied in ways that are not known here.
 func (g *Gate) deferToLocalCopies(l Load, now time.Time) bool {
