--- a/coord/residency/keeper.go
+++ b/coord/residency/keeper.go
@@ -56,7 +56,7 @@
 	typicalUnloadWait = time.Second
 )
 
-// NewKeeper returns a Keeper that gives no orders until it has a configuration and a report.
+// NewKeeper returns a scheduler that gives no orders until it has a configuration and a report.
 func NewKeeper() *Keeper {
 	return &Keeper{
 		demand: map[string]Demand{}, waiters: map[string]*Want{}, retries: map[string][]retry{}, loading: map[string]activeLoad{},
@@ -84,7 +84,8 @@
 	return ""
 }
 
-// Observe updates the state from the target's newest report and returns the requests whose wait it ends.
+// Observe updates the state from the target's newest report and returns the verdicts for the
+// requests whose wait it ends.
 func (k *Keeper) Observe(r Report, now time.Time) []Verdict {
 	if k.hasReport && r.Start != k.report.Start {
 		k.reset()
@@ -125,8 +126,9 @@
 	}
 }
 
-// Add adds a waiting request. If the model is held already, is not configured, or is not
-// forecast to be ready before w.Until, the request does not wait: Add returns its verdict and true.
+// Add adds a waiting request. If the model is held already, is not configured, or is not forecast
+// to be ready before the end of the wait, the request does not wait: Add returns its verdict and
+// true.
 func (k *Keeper) Add(w Want, now time.Time) (Verdict, bool) {
 	k.lastWanted[w.Model] = now
 	if w.Adapter != "" {
@@ -152,7 +154,7 @@
 // Waiting returns the number of waiting requests.
 func (k *Keeper) Waiting() int { return len(k.waiters) }
 
-// Tick removes expired state and returns the waiting requests whose time is over.
+// Tick removes expired retries, and returns the verdicts for the requests whose wait has ended.
 func (k *Keeper) Tick(now time.Time) []Verdict {
 	k.expireRetries(now)
 	var out []Verdict
@@ -179,7 +181,7 @@
 	return out
 }
 
-// resolveHeld returns the waiting requests whose model, and adapter if any, is held now.
+// resolveHeld ends the wait of the requests whose model, and adapter if any, is held now.
 func (k *Keeper) resolveHeld(now time.Time) []Verdict {
 	var out []Verdict
 	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
@@ -205,7 +207,7 @@
 		if k.pending.unanswered {
 			return k.pending.order, true
 		}
-		return Order{}, false // its first attempt is still under way
+		return Order{}, false // its result is not known yet
 	}
 	if k.report.Busy || len(k.loading) > 0 {
 		return Order{}, false // the target would refuse any order, also one on an adapter
@@ -222,7 +224,7 @@
 	return k.hasReport && k.pending == nil && !k.report.Busy && len(k.loading) == 0 && !now.Before(k.nextOrderAt)
 }
 
-// Sent records that an order is being sent. Answered must follow with its result.
+// Sent records that an order is being sent. The caller must report its result.
 func (k *Keeper) Sent(o Order) { k.pending = &pendingOrder{order: o} }
 
 // Answered records the result of the order that was sent.
--- a/coord/residency/retries.go
+++ b/coord/residency/retries.go
@@ -45,7 +45,8 @@
 	return len(k.retries[model]) >= least
 }
 
-// expireRetries removes the expected retries for models that are held, and those whose time has passed.
+// expireRetries removes the expected retries for models that are held, and those whose time has
+// passed.
 func (k *Keeper) expireRetries(now time.Time) {
 	for model, list := range k.retries {
 		list = slices.DeleteFunc(list, func(r retry) bool { return now.After(r.until) })
--- a/coord/residency/store.go
+++ b/coord/residency/store.go
@@ -8,8 +8,8 @@
 // Load pattern: a shift of demand makes many targets load from the store at once.
 // Without it: above the store's capacity all loads slow down in proportion and finish late together,
 // or more loads begin in a window than the platform allows.
-// Rule: one Gate, at the control leader, grants permits. A new leader, which lacks its predecessor's
-// permits, assumes a full window.
+// Rule: one limiter, at the control leader, grants permits. A new leader, which lacks its
+// predecessor's permits, assumes a full window.
 type Gate struct {
 	perSecond       float64 // limit on the loads from the store that begin, as a mean over window
 	window          time.Duration
@@ -61,7 +61,7 @@
 	permitRetryDelay = 200 * time.Millisecond
 )
 
-// NewGate returns a Gate that permits perSecond loads from the store on average over window. Its
+// NewGate returns a limiter that permits perSecond loads from the store on average over window. Its
 // window is full at now: the loads that a predecessor may have permitted are not known.
 func NewGate(perSecond float64, window time.Duration, now time.Time) *Gate {
 	g := &Gate{perSecond: perSecond, window: window, permits: map[string]permit{}, deferredSince: map[string]time.Time{}, storeLimit: initialStoreLimit}
