--- a/coord/placement/arrivals.go
+++ b/coord/placement/arrivals.go
@@ -5,48 +5,47 @@
 	"time"
 )
 
-// Arrivals estimate how often a model is asked for, and whether it is asked for
-// at regular times.
-//
-// Pattern of load: most models are asked for rarely, in short sessions. One time
-// constant alone errs: a short one forgets the daily regulars, a long one keeps
-// a model warm for hours after its session. So two are kept: within a session
-// the fast one says "soon again", between sessions the slow one gives the base.
+// Load pattern: most models are requested rarely, in short sessions.
+// Without it: a single short time constant loses models that are used daily, and a single long
+// one keeps a model loaded for hours after its session.
+// Rule: keep a fast and a slow decaying count and use the higher rate; the fast one dominates
+// within a session, the slow one between sessions.
 const (
-	fastArrivals = 40 * time.Second
-	slowArrivals = 2 * time.Hour
-	// leastLearned is the least time that a rate is learned from: one request
-	// in the first second is no rate of one a second.
-	leastLearned = 10 * time.Minute
-	// keptGaps is how many gaps between sessions are kept to find a pattern.
-	keptGaps = 8
-	// leastGaps is how many gaps must agree before a pattern is believed.
-	leastGaps = 4
-	// regularSpread is the largest ratio of deviation to mean of a regular
-	// pattern. Independent arrivals have a ratio of 1.
-	regularSpread = 0.15
-	// sessionGap separates sessions: a request within it belongs to the last.
+	fastTimeConstant = 40 * time.Second
+	slowTimeConstant = 2 * time.Hour
+	// minObservationTime is the shortest period over which a rate is computed: one
+	// request in the first second does not mean one request a second.
+	minObservationTime = 10 * time.Minute
+	// maxGaps is how many gaps between the starts of sessions are kept.
+	maxGaps = 8
+	// minGaps is how many gaps are needed to detect a regular pattern.
+	minGaps = 4
+	// maxGapVariation is the largest coefficient of variation (standard deviation
+	// divided by mean) of the gaps of a regular pattern. For independent arrivals it is 1.
+	maxGapVariation = 0.15
+	// sessionGap is the idle time after which a request starts a new session.
 	sessionGap = 30 * time.Second
 )
 
+// arrivals estimates a model's request rate and detects sessions at regular intervals.
 type arrivals struct {
-	fast, slow float64 // decayed counts
-	at         time.Time
-	session    time.Time // start of the last session
-	last       time.Time // last arrival
-	gaps       [keptGaps]time.Duration
-	seen       int // sessions seen after the first
+	fast, slow   float64 // exponentially decayed request counts
+	decayedAt    time.Time
+	sessionStart time.Time // start of the latest session
+	lastArrival  time.Time
+	gaps         [maxGaps]time.Duration
+	gapCount     int // gaps recorded so far, including overwritten ones
 }
 
 func (a *arrivals) decay(now time.Time) {
-	if dt := now.Sub(a.at); dt > 0 && !a.at.IsZero() {
-		a.fast *= math.Exp(-dt.Seconds() / fastArrivals.Seconds())
-		a.slow *= math.Exp(-dt.Seconds() / slowArrivals.Seconds())
+	if dt := now.Sub(a.decayedAt); dt > 0 && !a.decayedAt.IsZero() {
+		a.fast *= math.Exp(-dt.Seconds() / fastTimeConstant.Seconds())
+		a.slow *= math.Exp(-dt.Seconds() / slowTimeConstant.Seconds())
 	}
-	a.at = now
+	a.decayedAt = now
 }
 
-func (a *arrivals) note(n float64, now time.Time) {
+func (a *arrivals) record(n float64, now time.Time) {
 	if n <= 0 {
 		return
 	}
@@ -54,31 +53,31 @@
 	a.fast += n
 	a.slow += n
 	switch {
-	case a.last.IsZero():
-		a.session = now
-	case now.Sub(a.last) > sessionGap:
-		a.gaps[a.seen%keptGaps] = now.Sub(a.session)
-		a.seen++
-		a.session = now
+	case a.lastArrival.IsZero():
+		a.sessionStart = now
+	case now.Sub(a.lastArrival) > sessionGap:
+		a.gaps[a.gapCount%maxGaps] = now.Sub(a.sessionStart)
+		a.gapCount++
+		a.sessionStart = now
 	}
-	a.last = now
+	a.lastArrival = now
 }
 
-// perSecond is the expected number of requests in the next second, as learned since
-// began. A planner that has learned for less than slowArrivals has seen only a part
-// of what the slow count stands for; without regard to that, a new leader would
-// take every model for unused.
-func (a *arrivals) perSecond(began, now time.Time) float64 {
+// rate returns the expected number of requests per second, learned since startedAt. A planner
+// that has run for less than slowTimeConstant has seen only part of the period that the slow
+// count covers. Without a correction for that, a new leader would treat every model as unused.
+func (a *arrivals) rate(startedAt, now time.Time) float64 {
 	a.decay(now)
-	learned := max(leastLearned, now.Sub(began))
-	span := slowArrivals.Seconds() * (1 - math.Exp(-learned.Seconds()/slowArrivals.Seconds()))
-	return max(a.fast/fastArrivals.Seconds(), a.slow/span)
+	observed := max(minObservationTime, now.Sub(startedAt))
+	span := slowTimeConstant.Seconds() * (1 - math.Exp(-observed.Seconds()/slowTimeConstant.Seconds()))
+	return max(a.fast/fastTimeConstant.Seconds(), a.slow/span)
 }
 
-// next returns when the next session is due, if sessions come regularly.
-func (a *arrivals) next() (time.Time, bool) {
-	n := min(a.seen, keptGaps)
-	if n < leastGaps {
+// nextSession returns when the next session is due, and whether sessions are regular enough to
+// predict it.
+func (a *arrivals) nextSession() (time.Time, bool) {
+	n := min(a.gapCount, maxGaps)
+	if n < minGaps {
 		return time.Time{}, false
 	}
 	var sum, squares float64
@@ -88,8 +87,8 @@
 	}
 	mean := sum / float64(n)
 	deviation := math.Sqrt(max(0, squares/float64(n)-mean*mean))
-	if deviation > regularSpread*mean {
+	if deviation > maxGapVariation*mean {
 		return time.Time{}, false
 	}
-	return a.session.Add(time.Duration(mean * float64(time.Second))), true
+	return a.sessionStart.Add(time.Duration(mean * float64(time.Second))), true
 }
--- a/coord/placement/busy.go
+++ b/coord/placement/busy.go
@@ -2,44 +2,46 @@
 
 import "time"
 
-// More replicas. Pattern of load: a model that stays busy. A short peak is over
-// before a second replica is loaded, so only load that lasts SustainFor adds
-// one, and one at a time; removal asks for a much lower load that lasts as long. It
-// has its turn in the queue of loads, and room is made for it as for a cold start:
-// memory that is full of idle models must not keep a busy one on one target.
+// Load pattern: a model whose replicas stay busy.
+// Without it: its requests queue on one target while others idle or hold idle models.
+// Rule: add one replica at a time after ScaleUpDelay, as a short peak ends before a replica is
+// loaded; remove one after ScaleDownDelay at a much lower load. A scale-up waits in the load
+// queue and can evict idle models, like a cold start.
 
-// leastPart is the part of its targets' places that a model must fill itself to
-// count as busy: one that runs little beside a busy one needs no replica more,
-// unless its own requests wait.
-const leastPart = 0.25
+// minModelUtilization is the share of its targets' concurrency that a model itself must use to
+// count as busy, unless its own requests wait. A model with little load that shares its target
+// with a busy one needs no additional replica.
+const minModelUtilization = 0.25
 
-// noteBusy keeps since when m's replicas are busy, and since when one less would do.
-func (p *Planner) noteBusy(m *model, now time.Time) {
-	running, all, own := 0, 0, 0
+// updateScaling updates since when m's replicas have been busy, since when one of them has been
+// surplus, and whether m should get another one.
+func (p *Planner) updateScaling(m *model, now time.Time) {
+	running, capacity, modelRunning := 0, 0, 0
 	n := 0
 	for _, r := range m.replicas {
 		if r.serving() {
 			running += r.target.running + r.target.queued
-			own += r.running
-			all += r.target.spec.Concurrency
+			modelRunning += r.running
+			capacity += r.target.spec.Concurrency
 			n++
 		}
 	}
-	m.wantsMore = false
+	m.wantsScaleUp = false
 	if n == 0 {
-		m.busyFrom, m.spareFrom = time.Time{}, time.Time{}
+		m.busySince, m.surplusSince = time.Time{}, time.Time{}
 		return
 	}
-	busy := float64(running) > p.settings.BusyShare*float64(all) &&
-		(float64(own) >= leastPart*float64(all) || m.waiting > 0)
-	spare := n > 1 && float64(running) < p.settings.SpareShare*float64(all)*float64(n-1)/float64(n)
-	m.busyFrom = since(m.busyFrom, busy, now)
-	m.spareFrom = since(m.spareFrom, spare, now)
-	m.wantsMore = busy && now.Sub(m.busyFrom) >= p.settings.SustainFor
+	busy := float64(running) > p.settings.ScaleUpUtilization*float64(capacity) &&
+		(float64(modelRunning) >= minModelUtilization*float64(capacity) || m.waiting > 0)
+	surplus := n > 1 && float64(running) < p.settings.ScaleDownUtilization*float64(capacity)*float64(n-1)/float64(n)
+	m.busySince = conditionSince(m.busySince, busy, now)
+	m.surplusSince = conditionSince(m.surplusSince, surplus, now)
+	m.wantsScaleUp = busy && now.Sub(m.busySince) >= p.settings.ScaleUpDelay
 }
 
-// since keeps the start of an unbroken condition.
-func since(from time.Time, holds bool, now time.Time) time.Time {
+// conditionSince returns since when a condition has held without interruption, given its
+// previous start and whether it holds now; zero if it does not.
+func conditionSince(from time.Time, holds bool, now time.Time) time.Time {
 	switch {
 	case !holds:
 		return time.Time{}
--- a/coord/placement/choose.go
+++ b/coord/placement/choose.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// The target of a load. Pattern of load: checkpoints lie on some hosts, memory is free
-// on others, and the store is busy. All is counted in seconds that someone waits, so
-// that a fast load that needs an eviction and a slow one that needs none compare.
-// Chosen by free memory alone, a burst would load from the store what a host has on
-// its disk.
+// Load pattern: checkpoints are cached on some hosts, memory is free on others, and the store is busy.
+// Without it: a choice by free memory alone loads from the store what another host has on its disk.
+// Rule: load on the target with the lowest cost. All costs are in seconds of waiting, so
+// that a fast load after an eviction compares with a slow load without one.
 
-// place finds the target with room on which m costs least.
-func (p *Planner) place(m *model, storeWait time.Duration, now time.Time) (*target, float64) {
+// selectTarget returns the target with the lowest cost among those with enough free memory
+// for m, and the cost in seconds. It returns nil if there is none.
+func (p *Planner) selectTarget(m *model, storeWait time.Duration, now time.Time) (*target, float64) {
 	var best *target
 	var bestCost float64
-	if m.spec.Bytes > p.reach.now {
+	if m.spec.Bytes > p.largestFit.free {
 		return nil, 0
 	}
 	for _, name := range p.targetNames {
 		t := p.targets[name]
-		if t.free() < m.spec.Bytes || !p.allowed(m, t, now) {
+		if t.freeBytes() < m.spec.Bytes || !p.canLoad(m, t, now) {
 			continue
 		}
-		cost := p.cost(m, t, storeWait)
+		cost := p.loadCost(m, t, storeWait)
 		if best == nil || cost < bestCost {
 			best, bestCost = t, cost
 		}
@@ -29,37 +29,38 @@
 }
 
 const (
-	// busyCost is what a full target costs, in seconds: its requests and the
-	// new model's would share it.
-	busyCost = 4.0
-	// coldCost is what a target that holds nothing costs, in seconds: it
-	// becomes one more accelerator that can idle.
-	coldCost = 0.5
-	// domainCost is what a second replica in the same failure domain costs, in
-	// seconds: one loss would take both.
-	domainCost = 30.0
+	// utilizationCost is the cost of a fully utilized target, in seconds: the new
+	// model's requests compete with the running ones.
+	utilizationCost = 4.0
+	// emptyTargetCost is the cost of a target without replicas, in seconds: using it
+	// adds an accelerator that may sit idle later.
+	emptyTargetCost = 0.5
+	// sharedDomainCost is the cost of each other replica of the model in the same
+	// failure domain, in seconds: one failure would take down both.
+	sharedDomainCost = 30.0
 )
 
-// cost is the price of placing m on t in seconds of waiting. A load from the store
-// first waits for it.
-func (p *Planner) cost(m *model, t *target, storeWait time.Duration) float64 {
-	cost := p.loadTime(m, t).Seconds() + busyCost*t.busyShare()
+// loadCost returns the cost of loading m on t, in seconds of waiting. A load from the store
+// also waits storeWait for a slot.
+func (p *Planner) loadCost(m *model, t *target, storeWait time.Duration) float64 {
+	cost := p.expectedLoadTime(m, t).Seconds() + utilizationCost*t.utilization()
 	if !p.isLocal(m, t) {
 		cost += storeWait.Seconds()
 	}
 	if len(t.replicas) == 0 {
-		cost += coldCost
+		cost += emptyTargetCost
 	}
 	for _, r := range m.replicas {
 		if r.state != stateUnload && r.target.spec.FailureDomain == t.spec.FailureDomain {
-			cost += domainCost
+			cost += sharedDomainCost
 		}
 	}
 	return cost
 }
 
-// allowed reports whether m may be loaded on t at all at present.
-func (p *Planner) allowed(m *model, t *target, now time.Time) bool {
+// canLoad reports whether m may be loaded on t at present, regardless of free memory: t is
+// usable and large enough, has no replica of m, and is not in backoff after a failed load.
+func (p *Planner) canLoad(m *model, t *target, now time.Time) bool {
 	if !t.usable() || t.spec.WeightBytes() < m.spec.Bytes {
 		return false
 	}
@@ -67,43 +68,46 @@
 	if p.replicas[key] != nil {
 		return false
 	}
-	return len(p.failures) == 0 || !now.Before(p.failures[key].until)
+	return len(p.failures) == 0 || !now.Before(p.failures[key].retryAt)
 }
 
-// isLocal reports whether a load of m on t leaves the store alone: the host is
-// listed as holding the checkpoint, and such loads were measured faster than from
-// the store, on this host or, before any on it, over the fleet. The list alone is
-// not believed: a stale one would overrun the store.
+// isLocal reports whether a load of m on t is expected to read the host's own copy and not
+// the store: the configuration lists the checkpoint as cached on the host, and loads of
+// cached checkpoints were measured to be faster than from the store, on this host or,
+// before its first one, over the fleet. The configuration alone does not suffice: if it
+// is stale, the loads would exceed the store's limits.
 func (p *Planner) isLocal(m *model, t *target) bool {
-	ratio, measured := p.localShare(t)
-	return m.cached[t.spec.Name] && measured && ratio < localRatio
+	ratio, measured := p.localRatio(t)
+	return m.cached[t.spec.Name] && measured && ratio < maxLocalRatio
 }
 
-// localShare is the expected ratio of a load on t, or on any target if t is nil,
-// from its own copy to the time from the store.
-func (p *Planner) localShare(t *target) (ratio float64, measured bool) {
+// localRatio returns the expected ratio of the time of a load from the host's own copy to
+// the full-speed time from the store, on t or, if t is nil, on any target. It reports
+// whether the ratio was measured.
+func (p *Planner) localRatio(t *target) (ratio float64, measured bool) {
 	switch {
-	case t != nil && t.local > 0:
-		return t.local, true
-	case p.store.local > 0:
-		return p.store.local, true
+	case t != nil && t.localRatio > 0:
+		return t.localRatio, true
+	case p.store.localRatio > 0:
+		return p.store.localRatio, true
 	}
-	return hopedLocal, false
+	return defaultLocalRatio, false
 }
 
 const (
-	// localRatio is the ratio to the time from the store below which a load
-	// is taken as local.
-	localRatio = 0.7
-	// hopedLocal is the ratio assumed for a listed host before any was measured.
-	hopedLocal = 0.5
+	// maxLocalRatio is the ratio to the time from the store below which a load
+	// of a cached checkpoint is taken as local.
+	maxLocalRatio = 0.7
+	// defaultLocalRatio is the ratio assumed for a cached checkpoint before one was
+	// measured.
+	defaultLocalRatio = 0.5
 )
 
-// loadTime is the expected time of a load of m on t.
-func (p *Planner) loadTime(m *model, t *target) time.Duration {
+// expectedLoadTime returns the expected time of a load of m on t, without the wait for the store.
+func (p *Planner) expectedLoadTime(m *model, t *target) time.Duration {
 	ratio := p.store.slowdown
 	if m.cached[t.spec.Name] {
-		ratio, _ = p.localShare(t)
+		ratio, _ = p.localRatio(t)
 	}
 	return time.Duration(m.spec.LoadTime.Seconds() * ratio * float64(time.Second))
 }
--- a/coord/placement/idle.go
+++ b/coord/placement/idle.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// Unloading. Pattern of load: most models sit idle, and an idle accelerator
-// costs money and heat. A fixed time keeps a model that is asked for once a day
-// as long as one that is asked for each minute. Here a replica stays while the
-// waiting it is expected to save is worth more than the accelerator time it
-// holds: rate of requests x load time x WaitPrice, against its share of the
-// target's memory.
+// Load pattern: most models are idle, and an idle accelerator costs money and heat.
+// Without it: a fixed idle timeout keeps a model requested once a day as long as one requested each minute.
+// Rule: keep a replica while the waiting it is expected to save (request rate x load time x
+// WaitCostRatio) is worth more than its share of the target's memory.
 
-// planIdle unloads idle replicas that are not worth their room, worst first.
-func (p *Planner) planIdle(now time.Time) []Decision {
-	if now.Sub(p.began) < p.settings.LearnFor {
+// planIdleUnloads unloads idle replicas whose value is below the cost of their memory, lowest
+// margin first.
+func (p *Planner) planIdleUnloads(now time.Time) []Decision {
+	if now.Sub(p.configuredAt) < p.settings.IdleUnloadGrace {
 		return nil
 	}
 	type candidate struct {
@@ -23,11 +22,11 @@
 		reason Reason
 	}
 	var list []candidate
-	p.each(func(m *model) {
+	p.forEachModel(func(m *model) {
 		for _, r := range m.replicas {
-			if margin, reason, ok := p.worthless(r, now); ok {
+			if margin, reason, ok := p.evaluateUnload(r, now); ok {
 				list = append(list, candidate{r, margin, reason})
-				return // one replica of a model at a time
+				return // at most one replica of each model per round
 			}
 		}
 	})
@@ -39,44 +38,44 @@
 	return out
 }
 
-// Scarcity. A fleet that is full of idle models has no room for a first request:
-// each cold start then waits for an eviction first. So room costs more, the less
-// of it is free: keptFree of the memory at the plain price, up to maxScarcity times
-// that when nothing is free.
+// If a fleet is full of idle models, each cold start waits for an eviction first. The price of
+// memory therefore rises as less of it is free: it is 1 if at least the share freeMemoryGoal is
+// free, and up to maxMemoryPrice if none is.
 const (
-	keptFree    = 0.4
-	maxScarcity = 4.0
+	freeMemoryGoal = 0.4
+	maxMemoryPrice = 4.0
 )
 
-// measureScarcity derives the price of room from what is free on usable targets.
-func (p *Planner) measureScarcity() {
+// updateMemoryPrice computes the price of memory from the free share on usable targets.
+func (p *Planner) updateMemoryPrice() {
 	free, all := 0.0, 0.0
 	for _, name := range p.targetNames {
 		if t := p.targets[name]; t.usable() {
-			free += float64(max(0, t.free()))
+			free += float64(max(0, t.freeBytes()))
 			all += float64(t.spec.WeightBytes())
 		}
 	}
-	p.scarcity = 1
+	p.memoryPrice = 1
 	if all > 0 {
-		p.scarcity = min(maxScarcity, max(1, keptFree*all/max(free, 1)))
+		p.memoryPrice = min(maxMemoryPrice, max(1, freeMemoryGoal*all/max(free, 1)))
 	}
 }
 
-// worthless reports whether r may go, and by how much it is not worth its room.
-func (p *Planner) worthless(r *replica, now time.Time) (float64, Reason, bool) {
+// evaluateUnload returns the margin of r's value over the cost of its memory (-1 for a surplus
+// replica), the reason to unload it, and whether to unload it.
+func (p *Planner) evaluateUnload(r *replica, now time.Time) (float64, Reason, bool) {
 	m := r.model
 	if r.state != stateReady || r.running > 0 || !r.target.usable() || m.waiting > 0 {
 		return 0, "", false
 	}
-	if now.Sub(r.ready) < p.settings.MinStay {
+	if now.Sub(r.readyAt) < p.settings.MinResidency {
 		return 0, "", false
 	}
 	if m.servingCount() > 1 {
-		surplus := !m.spareFrom.IsZero() && now.Sub(m.spareFrom) >= p.settings.SpareFor
+		surplus := !m.surplusSince.IsZero() && now.Sub(m.surplusSince) >= p.settings.ScaleDownDelay
 		return -1, ReasonSurplus, surplus
 	}
 	share := float64(r.bytes) / float64(r.target.spec.WeightBytes())
-	margin := p.settings.WaitPrice*p.keepValue(r, now) - share*p.scarcity
+	margin := p.settings.WaitCostRatio*p.retentionValue(r, now) - share*p.memoryPrice
 	return margin, ReasonIdle, margin < 0
 }
--- a/coord/placement/loads.go
+++ b/coord/placement/loads.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// Cold starts. Pattern of load: first requests for many models arrive in a burst
-// at many entry hosts. Each model is one entry of the queue, however many hosts
-// ask: one load serves them all. Without that each host's first request would draw
-// on the store, and the store's speed would be shared by copies of one model.
+// Load pattern: first requests for many models arrive in a burst at many entry hosts.
+// Without it: each host's first request loads from the store, and copies of one model share its bandwidth.
+// Rule: queue each model once, however many hosts request it; one load serves them all.
 
-// triesPerRound bounds the models for which a round looks for a place: it keeps
-// a round near-linear when nothing fits anywhere. Models for which memory is kept
-// already cost nothing. Where the store takes more at once, as many are tried.
-const triesPerRound = 16
+// maxReservationsPerRound limits the models for which a round selects a target, to keep a round
+// near-linear when no target has memory. Models that already have a reservation don't count. If
+// the store allows more concurrent loads, the limit is that number.
+const maxReservationsPerRound = 16
 
-// inFlight counts loads that draw on the store.
-func (p *Planner) inFlight() int {
+// storeLoadsInFlight returns the number of loads that read from the store. A load that this
+// planner did not propose is counted as one.
+func (p *Planner) storeLoadsInFlight() int {
 	n := 0
 	for _, r := range p.replicas {
-		if r.loading() && (r.fetched || !r.seen) {
+		if r.loading() && (r.fromStore || !r.loadObserved) {
 			n++
 		}
 	}
 	return n
 }
 
-// planLoads starts loads for waiting models, and keeps memory for those that wait
-// for the store or for evictions. It returns the decisions and the models that
-// still wait.
+// planLoads starts loads for waiting models and reserves memory for those that wait for the
+// store or for evictions. It returns the decisions and the models that still wait, in queue
+// order.
 func (p *Planner) planLoads(now time.Time) ([]Decision, []*model) {
 	var out []Decision
-	var left []*model
-	queue := p.waitingModels(now)
-	slots := p.slotTimes(now)
-	tries := 0
+	var pending []*model
+	queue := p.loadQueue(now)
+	slots := p.slotWaits(now)
+	attempts := 0
 	for i, m := range queue {
-		if m.keptOn == nil {
-			tries++
+		if m.reservedTarget == nil {
+			attempts++
 		}
-		if tries > max(triesPerRound, p.store.slots) {
-			left = append(left, queue[i:]...)
+		if attempts > max(maxReservationsPerRound, p.store.slots) {
+			pending = append(pending, queue[i:]...)
 			break
 		}
-		wait := slots[min(len(left), len(slots)-1)] + p.storePressure(m, len(queue)-i)
-		why := ReasonDemand
-		if m.wantsMore {
-			why = ReasonBusy
+		wait := slots[min(len(pending), len(slots)-1)] + p.storeContention(m, len(queue)-i)
+		reason := ReasonDemand
+		if m.wantsScaleUp {
+			reason = ReasonSustainedLoad
 		}
-		decisions, started := p.planLoad(m, why, wait, now)
+		decisions, started := p.planLoad(m, reason, wait, now)
 		out = append(out, decisions...)
 		if !started {
-			left = append(left, m)
+			pending = append(pending, m)
 			continue
 		}
-		m.busyFrom, m.wantsMore = time.Time{}, false
-		slots = p.slotTimes(now)
+		m.busySince, m.wantsScaleUp = time.Time{}, false
+		slots = p.slotWaits(now)
 	}
-	return out, left
+	return out, pending
 }
 
-// storePressure is by how much a load of m from the store delays the others that
-// wait, of n in all, where they are more than the store's slots: each of them by one
-// slot's part of the load. A host with the checkpoint is then worth clearing.
-func (p *Planner) storePressure(m *model, n int) time.Duration {
+// storeContention returns the total delay that a load of m from the store causes to other loads.
+// n is the number of waiting models, including m. If it exceeds the store's slots, each model in
+// excess is delayed by the load time divided by the number of slots; a high total makes evictions
+// on a host with the checkpoint worthwhile.
+func (p *Planner) storeContention(m *model, n int) time.Duration {
 	behind := n - p.store.slots
 	if behind <= 0 {
 		return 0
@@ -69,35 +70,34 @@
 	return time.Duration(load * float64(behind) / float64(p.store.slots))
 }
 
-// planLoad does what can be done for one model now: start its load, or keep memory
-// for it, freeing some where needed. The memory is kept from the moment the model
-// waits, or models behind it in the queue would take it while it waits for the
-// store, and the eviction would begin only then.
-func (p *Planner) planLoad(m *model, why Reason, storeWait time.Duration, now time.Time) ([]Decision, bool) {
+// planLoad starts the load of one model, or reserves memory for it, with evictions if needed. It
+// reserves memory as soon as the model waits: otherwise models behind it in the queue could take
+// the memory while it waits for the store, and its evictions would begin only then.
+func (p *Planner) planLoad(m *model, reason Reason, storeWait time.Duration, now time.Time) ([]Decision, bool) {
 	var out []Decision
-	if m.keptOn == nil {
+	if m.reservedTarget == nil {
 		out = p.reserve(m, storeWait, now)
 	}
-	t := m.keptOn
-	if t != nil && !p.allowed(m, t, now) {
-		p.dropPromise(m)
+	t := m.reservedTarget
+	if t != nil && !p.canLoad(m, t, now) {
+		p.releaseReservation(m)
 		return out, false
 	}
-	if t == nil || t.free() < 0 {
+	if t == nil || t.freeBytes() < 0 {
 		return out, false
 	}
-	if !p.isLocal(m, t) && (p.inFlight() >= p.store.slots || !p.store.mayStart(now)) {
+	if !p.isLocal(m, t) && (p.storeLoadsInFlight() >= p.store.slots || !p.store.canStart(now)) {
 		return out, false
 	}
-	p.dropPromise(m)
-	return append(out, p.propose(Decision{m.spec.Name, t.spec.Name, true, why}, now)), true
+	p.releaseReservation(m)
+	return append(out, p.propose(Decision{m.spec.Name, t.spec.Name, true, reason}, now)), true
 }
 
-// reserve keeps memory for m on the target where it is ready first: one with room,
-// or one where evictions make room, with the decisions to evict.
+// reserve reserves memory for m on the target with the lowest cost, either one with free memory
+// or one where evictions make room, and returns the decisions to evict.
 func (p *Planner) reserve(m *model, storeWait time.Duration, now time.Time) []Decision {
-	best, cost := p.place(m, storeWait, now)
-	room, victims, roomCost := p.makeRoom(m, best != nil, storeWait, now)
+	best, cost := p.selectTarget(m, storeWait, now)
+	room, victims, roomCost := p.selectEviction(m, best != nil, storeWait, now)
 	if room != nil && (best == nil || roomCost < cost) {
 		best = room
 	} else {
@@ -106,8 +106,8 @@
 	if best == nil {
 		return nil
 	}
-	m.keptOn, m.keptFrom = best, now
-	best.promised += m.spec.Bytes
+	m.reservedTarget, m.reservedAt = best, now
+	best.reservedBytes += m.spec.Bytes
 	var out []Decision
 	for _, r := range victims {
 		out = append(out, p.propose(Decision{r.model.spec.Name, best.spec.Name, false, ReasonEvicted}, now))
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -530,7 +530,7 @@
 		for s := range gap {
 			out := w.planner.Plan(w.now)
 			for _, d := range out {
-				if d.Reason == placement.ReasonAhead {
+				if d.Reason == placement.ReasonPreload {
 					ahead++
 				}
 			}
--- a/coord/placement/plan.go
+++ b/coord/placement/plan.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// Plan runs one round and returns the decisions to propose, in order. Run it
-// about four times a second and after each change of demand or replicas: a round
-// starts at most as many loads as the store takes, so more rounds shift nothing
-// faster.
+// Plan runs one planning round and returns the decisions to propose, in order. Call it about four
+// times a second and after each change of demand or replicas. More rounds don't speed up loading,
+// as the store's limits bound the loads that a round starts.
 func (p *Planner) Plan(now time.Time) []Decision {
-	if !p.ready {
+	if !p.configured {
 		return nil
 	}
-	p.dropLapsed(now)
+	p.revertExpiredProposals(now)
 	p.sumDemand(now)
-	p.each(func(m *model) { p.noteBusy(m, now) })
-	p.dropPromises(now)
-	p.measureReach(now)
-	p.measureScarcity()
-	out := p.planBroken(now)
-	loads, left := p.planLoads(now)
+	p.forEachModel(func(m *model) { p.updateScaling(m, now) })
+	p.releaseStaleReservations(now)
+	p.updateLargestFit(now)
+	p.updateMemoryPrice()
+	out := p.planRemovals(now)
+	loads, pending := p.planLoads(now)
 	out = append(out, loads...)
-	if len(left) == 0 {
-		out = append(out, p.planAhead(now)...)
+	if len(pending) == 0 {
+		out = append(out, p.planPreload(now)...)
 	}
-	out = append(out, p.planIdle(now)...)
-	p.forecast(left, now)
+	out = append(out, p.planIdleUnloads(now)...)
+	p.updateForecasts(pending, now)
 	return out
 }
 
-// sumDemand adds up what the entry hosts last said and forgets hosts that went silent.
+// sumDemand aggregates the latest demand reports of all entry hosts and drops reports older than
+// DemandTTL.
 func (p *Planner) sumDemand(now time.Time) {
-	p.each(func(m *model) {
+	p.forEachModel(func(m *model) {
 		m.waiting, m.interactive = 0, false
 		m.deadline = time.Time{}
-		for host, d := range m.hosts {
-			if now.Sub(d.at) > p.settings.DemandTTL {
-				delete(m.hosts, host)
+		for host, d := range m.demandByHost {
+			if now.Sub(d.reportedAt) > p.settings.DemandTTL {
+				delete(m.demandByHost, host)
 				continue
 			}
 			if d.Waiting <= 0 {
@@ -48,23 +48,23 @@
 		}
 		switch {
 		case m.waiting == 0:
-			m.waitingFrom = time.Time{}
-		case m.waitingFrom.IsZero():
-			m.waitingFrom = now
+			m.waitingSince = time.Time{}
+		case m.waitingSince.IsZero():
+			m.waitingSince = now
 		}
 	})
 }
 
-// planBroken takes back what cannot serve: replicas the configuration no longer
-// names, loads on a target that leaves, and loads that take too long. The memory
-// counts until the agent proves it free; a replica on a silent target stays
-// counted, and the model is planned elsewhere because it does not serve.
-func (p *Planner) planBroken(now time.Time) []Decision {
+// planRemovals unloads replicas that are no longer configured, loads on targets that are
+// leaving, and loads that timed out. Their memory stays counted until the agent confirms that it
+// is free. A replica on a silent target also stays counted; its model is planned elsewhere,
+// because that replica does not serve.
+func (p *Planner) planRemovals(now time.Time) []Decision {
 	var out []Decision
 	for _, name := range p.targetNames {
 		t := p.targets[name]
 		for _, r := range t.replicas {
-			reason, broken := p.broken(r, now)
+			reason, broken := p.removalReason(r, now)
 			if broken {
 				out = append(out, p.propose(Decision{r.model.spec.Name, name, false, reason}, now))
 			}
@@ -73,14 +73,15 @@
 	return out
 }
 
-func (p *Planner) broken(r *replica, now time.Time) (Reason, bool) {
-	// An order that the log does not show yet may never be one: taking it back
-	// would decide about a replica that nobody knows.
-	if r.state == stateUnload || !r.proposed.IsZero() {
+// removalReason returns why r must be unloaded, and whether it must be.
+func (p *Planner) removalReason(r *replica, now time.Time) (Reason, bool) {
+	// A proposal that the replicated state does not show may never be committed;
+	// unloading it would be a decision on a replica that does not exist.
+	if r.state == stateUnload || !r.proposedAt.IsZero() {
 		return "", false
 	}
-	if !r.model.known || !r.target.known {
-		return ReasonWithdraw, true
+	if !r.model.configured || !r.target.configured {
+		return ReasonNotConfigured, true
 	}
 	if r.state != stateLoad {
 		return "", false
@@ -88,9 +89,9 @@
 	if r.target.leaving {
 		return ReasonLeaving, true
 	}
-	limit := time.Duration(p.settings.StuckFactor*float64(r.model.spec.LoadTime)*p.store.slowdown) + p.settings.StuckMargin
-	if now.Sub(r.since) > limit {
-		return ReasonStuck, true
+	limit := time.Duration(p.settings.LoadTimeoutFactor*float64(r.model.spec.LoadTime)*p.store.slowdown) + p.settings.LoadTimeoutMargin
+	if now.Sub(r.trackedSince) > limit {
+		return ReasonLoadTimeout, true
 	}
 	return "", false
 }
--- a/coord/placement/planner.go
+++ b/coord/placement/planner.go
@@ -9,51 +9,51 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// Planner decides on replicas. It is not safe for concurrent use.
+// Planner decides which replicas to load and unload. It is not safe for concurrent use.
 type Planner struct {
 	settings Settings
-	store    store
+	store    storeScheduler
 	models   map[string]*model
 	targets  map[string]*target
-	// sorted, so that no iteration over a map decides anything
-	modelNames  []string
-	targetNames []string
-	replicas    map[replicaKey]*replica
-	failures    map[replicaKey]failure
-	reach       reach
-	scarcity    float64
-	ready       bool      // a configuration was given
-	began       time.Time // when the first one was
+	// sorted, so that decisions do not depend on map iteration order
+	modelNames   []string
+	targetNames  []string
+	replicas     map[replicaKey]*replica
+	failures     map[replicaKey]loadFailure
+	largestFit   largestFit
+	memoryPrice  float64
+	configured   bool      // Configure was called
+	configuredAt time.Time // time of the first Configure
 }
 
-// New returns a planner that decides nothing before its first configuration.
+// New returns a planner that makes no decisions before its first configuration.
 func New(s Settings) *Planner {
 	return &Planner{
 		settings: s,
 		models:   map[string]*model{},
 		targets:  map[string]*target{},
 		replicas: map[replicaKey]*replica{},
-		failures: map[replicaKey]failure{},
+		failures: map[replicaKey]loadFailure{},
 	}
 }
 
-// Configure takes a configuration. Models and targets that it no longer names
-// are unloaded; what was measured of the others stays.
+// Configure applies a configuration. Replicas of models and on targets that it no longer has
+// are unloaded; measurements of the others are kept.
 func (p *Planner) Configure(c *config.Configuration, now time.Time) {
-	if !p.ready {
-		p.ready, p.began = true, now
+	if !p.configured {
+		p.configured, p.configuredAt = true, now
 	}
-	p.reach.measured = false
+	p.largestFit.measured = false
 	p.store.configure(c.Store, now)
 	for _, m := range p.models {
-		m.known = false
+		m.configured = false
 	}
 	for _, t := range p.targets {
-		t.known = false
+		t.configured = false
 	}
 	for name, spec := range c.Models {
 		m := p.modelFor(name)
-		m.spec, m.known = spec, true
+		m.spec, m.configured = spec, true
 		m.cached = map[string]bool{}
 		for _, t := range spec.Cached {
 			m.cached[t] = true
@@ -61,12 +61,12 @@
 	}
 	for name, spec := range c.Targets {
 		t := p.targetFor(name)
-		t.spec, t.known = spec, true
+		t.spec, t.configured = spec, true
 	}
-	p.count()
+	p.rebuildReplicaLists()
 }
 
-// SetTargets takes the standing of all targets; one that is not listed is not live.
+// SetTargets sets the status of all targets. A target that is not listed is not live.
 func (p *Planner) SetTargets(list []Target, _ time.Time) {
 	for _, t := range p.targets {
 		t.live = false
@@ -77,80 +77,83 @@
 	}
 }
 
-// ObserveReport takes an agent's newest report.
+// ObserveReport records an agent's latest report.
 func (p *Planner) ObserveReport(r Report, now time.Time) {
 	t := p.targetFor(r.Target)
-	t.running, t.queued, t.reported = r.Running, r.Queued, now
+	t.running, t.queued, t.reportedAt = r.Running, r.Queued, now
 	for _, m := range r.Models {
-		held := p.replicas[replicaKey{m.Model, r.Target}]
-		if held == nil {
+		loaded := p.replicas[replicaKey{m.Model, r.Target}]
+		if loaded == nil {
 			continue
 		}
-		held.running = m.Running
-		if used := now.Add(-m.Idle); used.After(held.lastUsed) {
-			held.lastUsed = used
+		loaded.running = m.Running
+		if used := now.Add(-m.Idle); used.After(loaded.lastUsed) {
+			loaded.lastUsed = used
 		}
 	}
 }
 
-// ObserveDemand takes an entry host's newest report on each model it lists; its
-// earlier word on these models is replaced.
+// ObserveDemand records an entry host's latest report on each listed model. It replaces the
+// host's previous report on these models; models that are not configured are ignored.
 func (p *Planner) ObserveDemand(host string, list []Demand, now time.Time) {
 	for _, d := range list {
 		m := p.models[d.Model]
-		if m == nil || !m.known {
+		if m == nil || !m.configured {
 			continue
 		}
-		// Arrivals are at least what was answered plus what more is waiting.
-		// Counting only answers would never learn of a model whose cold
-		// start is always too late.
-		came := float64(d.Served) + float64(d.Waiting-m.hosts[host].Waiting)
-		m.arrivals.note(came, now)
-		m.hosts[host] = hostDemand{d, now}
+		// Arrivals are at least the answered requests plus the increase of waiting ones.
+		// Counting answers alone would never see requests for a model whose cold start
+		// always takes longer than their deadline.
+		arrived := float64(d.Served) + float64(d.Waiting-m.demandByHost[host].Waiting)
+		m.arrivals.record(arrived, now)
+		m.demandByHost[host] = hostDemand{d, now}
 	}
 }
 
+// modelFor returns the named model, creating it if necessary.
 func (p *Planner) modelFor(name string) *model {
 	m := p.models[name]
 	if m == nil {
-		m = &model{spec: config.ModelSpec{Name: name}, hosts: map[string]hostDemand{}}
+		m = &model{spec: config.ModelSpec{Name: name}, demandByHost: map[string]hostDemand{}}
 		p.models[name] = m
-		p.modelNames = insertName(p.modelNames, name)
+		p.modelNames = insertSorted(p.modelNames, name)
 	}
 	return m
 }
 
+// targetFor returns the named target, creating it if necessary.
 func (p *Planner) targetFor(name string) *target {
 	t := p.targets[name]
 	if t == nil {
 		t = &target{spec: config.TargetSpec{Name: name}}
 		p.targets[name] = t
-		p.targetNames = insertName(p.targetNames, name)
+		p.targetNames = insertSorted(p.targetNames, name)
 	}
 	return t
 }
 
-func insertName(names []string, name string) []string {
+func insertSorted(names []string, name string) []string {
 	at, _ := slices.BinarySearch(names, name)
 	return slices.Insert(names, at, name)
 }
 
-// count derives each target's memory and the lists of replicas anew.
-func (p *Planner) count() {
+// rebuildReplicaLists recomputes the sorted replica lists of all models and targets, and the
+// memory used on each target.
+func (p *Planner) rebuildReplicaLists() {
 	for _, m := range p.models {
 		m.replicas = m.replicas[:0]
 	}
 	for _, t := range p.targets {
 		t.replicas = t.replicas[:0]
-		t.used = 0
+		t.usedBytes = 0
 	}
 	for _, r := range p.replicas {
-		if r.model.known {
+		if r.model.configured {
 			r.bytes = max(r.bytes, r.model.spec.Bytes)
 		}
 		r.model.replicas = append(r.model.replicas, r)
 		r.target.replicas = append(r.target.replicas, r)
-		r.target.used += r.bytes
+		r.target.usedBytes += r.bytes
 	}
 	for _, m := range p.models {
 		sort.Slice(m.replicas, func(i, j int) bool {
@@ -164,7 +167,8 @@
 	}
 }
 
-func (p *Planner) each(f func(*model)) {
+// forEachModel calls f for each model in order of name.
+func (p *Planner) forEachModel(f func(*model)) {
 	for _, name := range p.modelNames {
 		f(p.models[name])
 	}
--- a/coord/placement/replicas.go
+++ b/coord/placement/replicas.go
@@ -6,120 +6,121 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// SetReplicas takes all replica decisions of the replicated state. A replica
-// counts, with its memory, until the state no longer lists it: a target that has
-// gone silent may hold it still.
+// SetReplicas updates the planner from all replicas of the replicated state. A replica and its
+// memory are counted until the state no longer lists it, as a silent target may still hold it.
 func (p *Planner) SetReplicas(list []*coordpb.Replica, now time.Time) {
 	listed := make(map[replicaKey]bool, len(list))
 	for _, l := range list {
 		key := replicaKey{l.GetModel(), l.GetTarget()}
 		listed[key] = true
-		p.take(key, l, now)
+		p.updateReplica(key, l, now)
 	}
 	for key, r := range p.replicas {
-		if listed[key] || p.awaited(r, now) {
+		if listed[key] || p.awaitingCommit(r, now) {
 			continue
 		}
-		p.gone(key, r, now)
+		p.removeReplica(key, r, now)
 	}
-	p.count()
+	p.rebuildReplicaLists()
 }
 
-// take brings one listed replica up to date.
-func (p *Planner) take(key replicaKey, l *coordpb.Replica, now time.Time) {
+// updateReplica applies one replica of the replicated state.
+func (p *Planner) updateReplica(key replicaKey, l *coordpb.Replica, now time.Time) {
 	r := p.replicas[key]
 	if r == nil {
-		r = &replica{model: p.modelFor(key.model), target: p.targetFor(key.target), since: now, lastUsed: now}
+		r = &replica{model: p.modelFor(key.model), target: p.targetFor(key.target), trackedSince: now, lastUsed: now}
 		p.replicas[key] = r
 	}
-	if p.awaited(r, now) && r.state != l.GetState() && l.GetFencing() <= r.fencing {
+	if p.awaitingCommit(r, now) && r.state != l.GetState() && l.GetFencing() <= r.fencing {
 		return // the state does not show the proposal yet
 	}
 	if r.state == stateLoad && l.GetState() == stateReady {
-		p.loaded(key, r, now)
+		p.recordLoad(key, r, now)
 	}
-	if l.GetState() == stateReady && r.ready.IsZero() {
-		r.ready, r.lastUsed = now, now
+	if l.GetState() == stateReady && r.readyAt.IsZero() {
+		r.readyAt, r.lastUsed = now, now
 	}
 	r.state, r.fencing = l.GetState(), l.GetFencing()
-	r.proposed = time.Time{}
+	r.proposedAt = time.Time{}
 }
 
-// awaited reports whether r is a proposal that the log may still commit.
-func (p *Planner) awaited(r *replica, now time.Time) bool {
-	return !r.proposed.IsZero() && now.Sub(r.proposed) < p.settings.ProposalTimeout
+// awaitingCommit reports whether r is a proposal that the log may still commit.
+func (p *Planner) awaitingCommit(r *replica, now time.Time) bool {
+	return !r.proposedAt.IsZero() && now.Sub(r.proposedAt) < p.settings.ProposalTimeout
 }
 
-// loaded learns from a load that ended well.
-func (p *Planner) loaded(key replicaKey, r *replica, now time.Time) {
+// recordLoad records a successful load: it clears the target's backoff for the model and updates
+// the measured load-time ratios.
+func (p *Planner) recordLoad(key replicaKey, r *replica, now time.Time) {
 	delete(p.failures, key)
-	if !r.seen || r.model.spec.LoadTime <= 0 {
+	if !r.loadObserved || r.model.spec.LoadTime <= 0 {
 		return
 	}
-	took := now.Sub(r.since)
+	took := now.Sub(r.trackedSince)
 	if !r.model.cached[key.target] {
-		p.store.measured(took, r.model.spec.LoadTime)
+		p.store.recordStoreLoad(took, r.model.spec.LoadTime)
 		return
 	}
 	ratio := took.Seconds() / r.model.spec.LoadTime.Seconds()
-	p.store.measuredLocal(ratio)
-	if r.target.local == 0 {
-		r.target.local = ratio
+	p.store.recordLocalLoad(ratio)
+	if r.target.localRatio == 0 {
+		r.target.localRatio = ratio
 		return
 	}
-	r.target.local += slowdownWeight * (ratio - r.target.local)
+	r.target.localRatio += loadRatioWeight * (ratio - r.target.localRatio)
 }
 
-// gone drops a replica that the state proved gone. One that was loading and was
-// not asked to unload has failed: its target is not tried again at once.
-func (p *Planner) gone(key replicaKey, r *replica, now time.Time) {
+// removeReplica removes a replica that the replicated state no longer lists. If it was loading and
+// no unload was decided, its load failed, and the target is not tried again before a backoff.
+func (p *Planner) removeReplica(key replicaKey, r *replica, now time.Time) {
 	delete(p.replicas, key)
 	if r.state != stateLoad {
 		return
 	}
 	f := p.failures[key]
-	f.wait = min(max(2*f.wait, p.settings.FailureBackoff), p.settings.MaxFailureBackoff)
-	f.until = now.Add(f.wait)
+	f.backoff = min(max(2*f.backoff, p.settings.FailureBackoff), p.settings.MaxFailureBackoff)
+	f.retryAt = now.Add(f.backoff)
 	p.failures[key] = f
 }
 
-// dropLapsed takes back proposals that the log did not show in time.
-func (p *Planner) dropLapsed(now time.Time) {
+// revertExpiredProposals reverts proposals that the replicated state did not show within
+// ProposalTimeout.
+func (p *Planner) revertExpiredProposals(now time.Time) {
 	changed := false
 	for key, r := range p.replicas {
-		if r.proposed.IsZero() || p.awaited(r, now) {
+		if r.proposedAt.IsZero() || p.awaitingCommit(r, now) {
 			continue
 		}
 		changed = true
-		r.proposed = time.Time{}
-		if r.before == 0 {
+		r.proposedAt = time.Time{}
+		if r.previousState == 0 {
 			delete(p.replicas, key)
 			continue
 		}
-		r.state = r.before
+		r.state = r.previousState
 	}
 	if changed {
-		p.count()
+		p.rebuildReplicaLists()
 	}
 }
 
-// propose applies a decision to the tables until the log shows it.
+// propose applies a decision to the planner's state as a proposal and returns it.
 func (p *Planner) propose(d Decision, now time.Time) Decision {
 	key := replicaKey{d.Model, d.Target}
 	if !d.Load {
 		r := p.replicas[key]
-		r.before, r.state, r.proposed = r.state, stateUnload, now
+		r.previousState, r.state, r.proposedAt = r.state, stateUnload, now
 		return d
 	}
 	m, t := p.models[d.Model], p.targets[d.Target]
-	r := &replica{model: m, target: t, state: stateLoad, bytes: m.spec.Bytes, since: now, lastUsed: now, seen: true, proposed: now}
-	r.fetched = !p.isLocal(m, t)
-	if r.fetched {
-		p.store.start(now)
+	r := &replica{model: m, target: t, state: stateLoad, bytes: m.spec.Bytes, trackedSince: now, lastUsed: now, loadObserved: true, proposedAt: now}
+	r.fromStore = !p.isLocal(m, t)
+	if r.fromStore {
+		p.store.recordStart(now)
 	}
 	p.replicas[key] = r
 	m.replicas = append(m.replicas, r)
 	t.replicas = append(t.replicas, r)
-	t.used += r.bytes
+	t.usedBytes += r.bytes
 	return d
 }
--- a/coord/placement/settings.go
+++ b/coord/placement/settings.go
@@ -2,76 +2,81 @@
 
 import "time"
 
-// Settings are the planner's thresholds. DefaultSettings gives the values that
-// docs/design/placement.md argues for.
+// Settings are the planner's thresholds. docs/design/placement.md explains the values
+// that DefaultSettings returns.
 type Settings struct {
-	// DemandTTL is how long an entry host's report of waiting requests counts
-	// without a newer one. Entry hosts report at least once a second; three
-	// missed reports mean that the host is gone and its callers with it.
+	// DemandTTL is how long an entry host's report of waiting requests is valid.
+	// Entry hosts report at least once a second; after three missed reports the
+	// host, and the connections of its callers, are considered lost.
 	DemandTTL time.Duration
-	// ProposalTimeout is after how long a decision that the log has not shown
-	// is taken as not committed. Above an election and a commit.
+	// ProposalTimeout is how long a proposed decision may be missing from the
+	// replicated state before it is treated as not committed. It must exceed the
+	// time of an election plus a commit.
 	ProposalTimeout time.Duration
-	// MinStay is how long a replica that became ready is not evicted or
-	// unloaded: about the longest load, so that it serves as long as it cost.
-	MinStay time.Duration
-	// EvictHorizon is the time over which the requests expected for a model are
-	// weighed, before it is evicted, against those that wait for another one.
-	EvictHorizon time.Duration
-	// Patience is after how long a model that waits may evict all the same.
-	Patience time.Duration
-	// WaitPrice is how many seconds of one idle accelerator a caller's second
-	// of waiting for a cold start is worth.
-	WaitPrice float64
-	// SustainFor is how long a model must be busy before it gets one more replica.
-	SustainFor time.Duration
-	// SpareFor is how long one replica less must do before it is unloaded: longer
-	// than a lull between two peaks, as a replica costs a load to bring back.
-	SpareFor time.Duration
-	// BusyShare is the share of its targets' concurrency above which a model is busy.
-	BusyShare float64
-	// SpareShare is the share of the remaining concurrency below which one
-	// replica less would do. Well below BusyShare, so that the number of
-	// replicas does not swing.
-	SpareShare float64
-	// FailureBackoff is how long a target is not tried again for a model whose
-	// load failed there; it doubles with each failure up to MaxFailureBackoff.
+	// MinResidency is how long a replica is protected from eviction and unloading
+	// after it became ready. It is about the longest load time, so that a replica
+	// can serve for at least as long as it took to load.
+	MinResidency time.Duration
+	// EvictionHorizon is the period over which the requests expected for a model
+	// are compared with the requests waiting for the model that would replace it.
+	EvictionHorizon time.Duration
+	// MaxEvictionDelay is how long a waiting model's eviction can be deferred in
+	// favor of models with more expected requests.
+	MaxEvictionDelay time.Duration
+	// WaitCostRatio is the cost of one second that a caller waits for a cold start,
+	// in seconds of one idle accelerator.
+	WaitCostRatio float64
+	// ScaleUpDelay is how long a model must be busy before it gets another replica.
+	ScaleUpDelay time.Duration
+	// ScaleDownDelay is how long a replica must be surplus before it is unloaded.
+	// It is longer than the gap between two peaks, because restoring the replica
+	// takes a load.
+	ScaleDownDelay time.Duration
+	// ScaleUpUtilization is the share of its targets' concurrency in use above which
+	// a model is busy.
+	ScaleUpUtilization float64
+	// ScaleDownUtilization is the share of the concurrency that would remain with
+	// one replica fewer, below which one replica is surplus. It is well below
+	// ScaleUpUtilization, so that the number of replicas does not oscillate.
+	ScaleDownUtilization float64
+	// FailureBackoff is the delay before a model is loaded again on a target where
+	// its load failed. It doubles with each failure, up to MaxFailureBackoff.
 	FailureBackoff    time.Duration
 	MaxFailureBackoff time.Duration
-	// StuckFactor times the expected time, plus StuckMargin, is when a load
-	// counts as dead.
-	StuckFactor float64
-	StuckMargin time.Duration
-	// LearnFor is how long a new leader unloads nothing for being idle: it knows
-	// of no request yet, and would empty the fleet. In this time it hears of every
-	// model that is worth keeping.
-	LearnFor time.Duration
-	// IdleUnloadsPerRound bounds unloading of idle replicas in one round, so
-	// that a wrong estimate empties the fleet slowly enough to be seen.
+	// A load times out after LoadTimeoutFactor times its expected duration plus
+	// LoadTimeoutMargin.
+	LoadTimeoutFactor float64
+	LoadTimeoutMargin time.Duration
+	// IdleUnloadGrace is how long a new leader unloads no idle replica. It starts
+	// without request rates, so every model would look unused. The period is long
+	// enough to receive requests for every model that is worth keeping.
+	IdleUnloadGrace time.Duration
+	// IdleUnloadsPerRound limits how many idle replicas one round unloads, so that
+	// operators can notice a wrong estimate before the fleet is empty.
 	IdleUnloadsPerRound int
-	// LoadAhead turns loading ahead on.
-	LoadAhead bool
+	// Preload enables loading a model before its next expected request.
+	Preload bool
 }
 
-// DefaultSettings returns the settings in use.
+// DefaultSettings returns the settings used in production.
 func DefaultSettings() Settings {
 	return Settings{
-		DemandTTL:           3 * time.Second,
-		ProposalTimeout:     5 * time.Second,
-		MinStay:             4 * time.Second,
-		EvictHorizon:        20 * time.Second,
-		Patience:            4 * time.Second,
-		WaitPrice:           25,
-		SustainFor:          5 * time.Second,
-		SpareFor:            30 * time.Second,
-		BusyShare:           0.8,
-		SpareShare:          0.3,
-		FailureBackoff:      5 * time.Second,
-		MaxFailureBackoff:   2 * time.Minute,
-		StuckFactor:         4,
-		StuckMargin:         10 * time.Second,
-		LearnFor:            5 * time.Minute,
-		IdleUnloadsPerRound: 4,
-		LoadAhead:           true,
+		DemandTTL:            3 * time.Second,
+		ProposalTimeout:      5 * time.Second,
+		MinResidency:         4 * time.Second,
+		EvictionHorizon:      20 * time.Second,
+		MaxEvictionDelay:     4 * time.Second,
+		WaitCostRatio:        25,
+		ScaleUpDelay:         5 * time.Second,
+		ScaleDownDelay:       30 * time.Second,
+		ScaleUpUtilization:   0.8,
+		ScaleDownUtilization: 0.3,
+		FailureBackoff:       5 * time.Second,
+		MaxFailureBackoff:    2 * time.Minute,
+		LoadTimeoutFactor:    4,
+		LoadTimeoutMargin:    10 * time.Second,
+		IdleUnloadGrace:      5 * time.Minute,
+		IdleUnloadsPerRound:  4,
+		Preload:              true,
 	}
 }
--- a/coord/placement/store.go
+++ b/coord/placement/store.go
@@ -6,34 +6,34 @@
 	"cowsliptiller/coord/config"
 )
 
-// store schedules loads from the shared weight store.
+// storeScheduler limits loads from the shared weight store.
 //
-// Pattern of load: a burst of first requests for many models. Without a
-// schedule each target would fetch at once; the store shares its speed, so every
-// load ends late, the urgent ones too. With at most the store's number at full
-// speed in flight, the same bytes a second flow and the most urgent end first.
+// Load pattern: a burst of first requests for many models.
+// Without it: all targets load at once and share the store's bandwidth; urgent loads end late too.
+// Rule: at most slots loads at once, which the store serves at full speed, most urgent first;
+// and at most n = floor(rate), at least 1, starts in any n/rate seconds.
 //
-// Starts are counted over a sliding window: at most floor(rate) starts in any
-// floor(rate)/rate seconds. A bucket as deep as the rate would let twice the
-// rate through in one second; a bucket of depth one would delay the second load
-// of a burst for nothing.
-type store struct {
-	starts []time.Time // the last floor(rate) starts, oldest at head
+// The starts are counted over a sliding window. A token bucket of depth rate would admit up to
+// twice the rate within one second; a bucket of depth 1 would delay the second load of a burst
+// without need.
+type storeScheduler struct {
+	starts []time.Time // the last n starts; the oldest is at head
 	head   int
 	window time.Duration
 	slots  int
-	// slowdown is the measured ratio of a load's time to its time at full
-	// speed: it grows when the store slows, so that forecasts stay true.
+	// slowdown is the moving average of the ratio of a load's time to its time at full
+	// speed, at least 1. Forecasts use it, so that they stay accurate when the store is slow.
 	slowdown float64
-	// local is the measured ratio of loads from hosts' own copies to the time
-	// from the store, over the fleet; 0: none measured yet.
-	local float64
+	// localRatio is the fleet-wide moving average of the ratio of the time of a load from a
+	// host's own copy to the full-speed time from the store; 0 before the first measurement.
+	localRatio float64
 }
 
-// slowdownWeight lets about the last five loads count.
-const slowdownWeight = 0.2
+// loadRatioWeight is the weight of a new measurement in the moving averages of load-time
+// ratios: about the last five loads count.
+const loadRatioWeight = 0.2
 
-func (s *store) configure(l config.StoreLimits, now time.Time) {
+func (s *storeScheduler) configure(l config.StoreLimits, now time.Time) {
 	n := max(1, int(l.LoadsPerSecond))
 	s.window = time.Duration(float64(n) / l.LoadsPerSecond * float64(time.Second))
 	s.slots = l.FullSpeedLoads
@@ -43,8 +43,8 @@
 	if len(s.starts) == n {
 		return
 	}
-	// A new planner does not know what its predecessor started within the
-	// last window: it takes that as a full window.
+	// A new planner does not have its predecessor's starts within the last window,
+	// so it assumes that the window is full.
 	s.starts = make([]time.Time, n)
 	for i := range s.starts {
 		s.starts[i] = now
@@ -52,30 +52,30 @@
 	s.head = 0
 }
 
-// nextStart is the earliest time at which one more load may start.
-func (s *store) nextStart() time.Time {
+// nextStart returns the earliest time at which another load may start.
+func (s *storeScheduler) nextStart() time.Time {
 	return s.starts[s.head].Add(s.window)
 }
 
-func (s *store) mayStart(now time.Time) bool {
+func (s *storeScheduler) canStart(now time.Time) bool {
 	return !now.Before(s.nextStart())
 }
 
-func (s *store) start(now time.Time) {
+func (s *storeScheduler) recordStart(now time.Time) {
 	s.starts[s.head] = now
 	s.head = (s.head + 1) % len(s.starts)
 }
 
-// measuredLocal learns from a load on a host that is listed as holding the checkpoint.
-func (s *store) measuredLocal(ratio float64) {
-	if s.local == 0 {
-		s.local = ratio
+// recordLocalLoad records the measured ratio of a load of a cached checkpoint.
+func (s *storeScheduler) recordLocalLoad(ratio float64) {
+	if s.localRatio == 0 {
+		s.localRatio = ratio
 		return
 	}
-	s.local += slowdownWeight * (ratio - s.local)
+	s.localRatio += loadRatioWeight * (ratio - s.localRatio)
 }
 
-func (s *store) measured(took, fullSpeed time.Duration) {
+func (s *storeScheduler) recordStoreLoad(took, fullSpeed time.Duration) {
 	ratio := took.Seconds() / fullSpeed.Seconds()
-	s.slowdown += slowdownWeight * (max(1, ratio) - s.slowdown)
+	s.slowdown += loadRatioWeight * (max(1, ratio) - s.slowdown)
 }
--- a/coord/placement/tables.go
+++ b/coord/placement/tables.go
@@ -9,23 +9,23 @@
 
 type replicaKey struct{ model, target string }
 
-// replica is one decision as the planner sees it: what the log shows, or what
-// Plan proposed and the log has not shown yet.
+// replica is one replica decision: as the replicated state lists it, or as Plan proposed it
+// and the state does not show it yet.
 type replica struct {
-	model   *model
-	target  *target
-	state   coordpb.ReplicaState
-	fencing uint64
-	bytes   int64 // as decided; a later configuration may not name the model
-	since   time.Time
-	ready   time.Time
-	seen    bool // the planner saw the load begin: its time can be measured
-	fetched bool // it counts as a load from the store
-	// remaining at the last report
-	running  int
-	lastUsed time.Time
-	proposed time.Time // zero: the log shows it
-	before   coordpb.ReplicaState
+	model        *model
+	target       *target
+	state        coordpb.ReplicaState
+	fencing      uint64
+	bytes        int64     // kept here, as a later configuration may not have the model
+	trackedSince time.Time // when it was proposed, or first listed if another planner proposed it
+	readyAt      time.Time
+	loadObserved bool // this planner proposed the load, so its duration can be measured
+	fromStore    bool // the load reads from the weight store
+	// as of the target's last report
+	running       int
+	lastUsed      time.Time
+	proposedAt    time.Time // zero if the replicated state shows it
+	previousState coordpb.ReplicaState
 }
 
 func (r *replica) serving() bool {
@@ -37,30 +37,30 @@
 }
 
 type target struct {
-	spec     config.TargetSpec
-	known    bool // the configuration names it
-	live     bool
-	leaving  bool
-	running  int
-	queued   int
-	reported time.Time
-	replicas []*replica // in order of model
-	used     int64      // weights of all replicas, whatever their state
-	promised int64      // kept free for a model that waits for evictions here
-	// local is the measured ratio of a load here from the host's own copy to
-	// the time from the store; 0: none measured.
-	local float64
+	spec          config.TargetSpec
+	configured    bool // it is in the current configuration
+	live          bool
+	leaving       bool
+	running       int
+	queued        int
+	reportedAt    time.Time
+	replicas      []*replica // sorted by model name
+	usedBytes     int64      // weights of all replicas in any state
+	reservedBytes int64      // reserved for models that will be loaded here
+	// localRatio is the measured ratio of the time of a load from the host's own copy
+	// to the full-speed time from the store; 0 before the first measurement.
+	localRatio float64
 }
 
 func (t *target) usable() bool {
-	return t.known && t.live && !t.leaving && t.spec.Kind == config.KindEngine
+	return t.configured && t.live && !t.leaving && t.spec.Kind == config.KindEngine
 }
 
-func (t *target) free() int64 {
-	return t.spec.WeightBytes() - t.used - t.promised
+func (t *target) freeBytes() int64 {
+	return t.spec.WeightBytes() - t.usedBytes - t.reservedBytes
 }
 
-func (t *target) busyShare() float64 {
+func (t *target) utilization() float64 {
 	if t.spec.Concurrency == 0 {
 		return 0
 	}
@@ -69,37 +69,38 @@
 
 type hostDemand struct {
 	Demand
-	at time.Time
+	reportedAt time.Time
 }
 
 type model struct {
-	spec     config.ModelSpec
-	known    bool
-	cached   map[string]bool
-	replicas []*replica // in order of target
-	hosts    map[string]hostDemand
-	arrivals arrivals
-	// summed over hosts at each round
-	waiting     int
-	deadline    time.Time
-	interactive bool
-	waitingFrom time.Time // since when requests wait without a break
-	busyFrom    time.Time // since when its replicas are busy without a break
-	spareFrom   time.Time
-	wantsMore   bool // busy for so long that one more replica is worth it
-	// keptOn is the target on which memory is kept, or being freed, for it.
-	keptOn   *target
-	keptFrom time.Time // since when
-	forecast Forecast
+	spec         config.ModelSpec
+	configured   bool
+	cached       map[string]bool
+	replicas     []*replica // sorted by target name
+	demandByHost map[string]hostDemand
+	arrivals     arrivals
+	// aggregated over demandByHost in each round
+	waiting      int
+	deadline     time.Time
+	interactive  bool
+	waitingSince time.Time // when the current uninterrupted waiting period began
+	busySince    time.Time // when its replicas became busy; zero if they are not
+	surplusSince time.Time // when one of its replicas became surplus; zero if none is
+	wantsScaleUp bool      // busy for at least ScaleUpDelay
+	// reservedTarget is the target on which memory is reserved for the model, even if
+	// evictions must free it first; nil without a reservation.
+	reservedTarget *target
+	reservedAt     time.Time // when the reservation was made
+	forecast       Forecast
 }
 
-// needsReplica reports whether requests wait for a load of m, or its replicas
-// have been busy for long.
+// needsReplica reports whether a load of m should be planned: none is in progress, and either
+// requests wait while no replica serves, or the replicas were busy for ScaleUpDelay.
 func (m *model) needsReplica() bool {
-	if !m.known || m.loadingCount() > 0 {
+	if !m.configured || m.loadingCount() > 0 {
 		return false
 	}
-	return m.wantsMore || m.waiting > 0 && m.servingCount() == 0
+	return m.wantsScaleUp || m.waiting > 0 && m.servingCount() == 0
 }
 
 func (m *model) servingCount() int {
@@ -122,7 +123,7 @@
 	return n
 }
 
-type failure struct {
-	until time.Time
-	wait  time.Duration
+type loadFailure struct {
+	retryAt time.Time
+	backoff time.Duration
 }
--- a/coord/placement/types.go
+++ b/coord/placement/types.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Reason says why a decision was made; it goes to the audit trail.
+// Reason is why a decision was made. It is recorded in the audit trail.
 type Reason string
 
-// The reasons.
+// Reasons of decisions.
 const (
-	ReasonDemand   Reason = "demand"         // requests wait for the model
-	ReasonBusy     Reason = "sustained_load" // the replicas it has stay busy
-	ReasonAhead    Reason = "ahead"          // its measured pattern says that requests come soon
-	ReasonEvicted  Reason = "evicted"        // a waiting model needs the memory
-	ReasonIdle     Reason = "idle"           // keeping it is worth less than the accelerator's idle time
-	ReasonSurplus  Reason = "surplus"        // fewer replicas carry its load
-	ReasonStuck    Reason = "stuck"          // its load took too long: the target may be dead
-	ReasonLeaving  Reason = "leaving"        // its target leaves before the load ended
-	ReasonWithdraw Reason = "withdrawn"      // the configuration no longer has it
+	ReasonDemand        Reason = "demand"         // requests are waiting for the model
+	ReasonSustainedLoad Reason = "sustained_load" // the model's replicas have been busy for ScaleUpDelay
+	ReasonPreload       Reason = "ahead"          // the model is requested at regular intervals and the next request is due
+	ReasonEvicted       Reason = "evicted"        // another model, which has waiting requests or must scale up, needs the memory
+	ReasonIdle          Reason = "idle"           // the expected savings in waiting time are below the cost of the memory it holds
+	ReasonSurplus       Reason = "surplus"        // the model's remaining replicas can serve its load
+	ReasonLoadTimeout   Reason = "stuck"          // the load exceeded its time limit; the target may have failed
+	ReasonLeaving       Reason = "leaving"        // the target is leaving and the load has not finished
+	ReasonNotConfigured Reason = "withdrawn"      // the model or target was removed from the configuration
 )
 
-// Decision is one change to propose to the replicated log.
+// Decision is one load or unload to propose to the replicated log.
 type Decision struct {
 	Model  string
 	Target string
-	Load   bool // false: unload
+	Load   bool // true to load, false to unload
 	Reason Reason
 }
 
-// Target is a target's standing in the fleet.
+// Target is the current status of a target.
 type Target struct {
 	Name    string
-	Live    bool // its agent renews its lease and its engine answers
-	Leaving bool
+	Live    bool // its agent renews its lease and its engine responds
+	Leaving bool // it is being drained and takes no new loads
 }
 
-// Report is what one agent last read from its engine.
+// Report is the state of one target's engine, as its agent last read it.
 type Report struct {
 	Target  string
 	Running int
@@ -41,23 +41,24 @@
 	Models  []ModelReport
 }
 
-// ModelReport is one loaded model in a Report.
+// ModelReport is the state of one loaded model in a Report.
 type ModelReport struct {
 	Model   string
 	Running int
-	Idle    time.Duration // since its last request ended; 0 while it runs one
+	Idle    time.Duration // time since its last request ended; 0 while a request is running
 }
 
-// Demand is what one entry host knows of one model.
+// Demand is one entry host's report on one model.
 type Demand struct {
 	Model            string
 	Waiting          int
-	EarliestDeadline time.Time // of the waiting requests; zero when none waits
-	Interactive      bool      // a person waits for one of them
-	Served           int64     // requests answered since the host's last report
+	EarliestDeadline time.Time // among the waiting requests; zero if none are waiting
+	Interactive      bool      // at least one waiting request is interactive
+	Served           int64     // requests answered since the host's previous report
 }
 
-// Forecast says whether and when a model can serve.
+// Forecast is whether a model can serve requests, and in how long. ReadyIn is 0 if it can
+// serve now.
 type Forecast struct {
 	Possible bool
 	ReadyIn  time.Duration
