--- a/coord/placement/tables.go
+++ b/coord/placement/tables.go
@@ -16,7 +16,7 @@
 	target       *target
 	state        coordpb.ReplicaState
 	fencing      uint64
-	bytes        int64     // kept here, as a later configuration may not have the model
+	bytes        int64     // largest configured size so far; kept, as a later configuration may not have the model
 	trackedSince time.Time // when it was proposed, or first listed if another planner proposed it
 	readyAt      time.Time
 	loadObserved bool // this planner proposed the load, so its duration can be measured
--- a/coord/placement/types.go
+++ b/coord/placement/types.go
@@ -10,7 +10,7 @@
 	ReasonDemand        Reason = "demand"         // requests are waiting for the model
 	ReasonSustainedLoad Reason = "sustained_load" // the model's replicas have been busy for ScaleUpDelay
 	ReasonPreload       Reason = "ahead"          // the model is requested at regular intervals and the next request is due
-	ReasonEvicted       Reason = "evicted"        // another model, which has waiting requests or must scale up, needs the memory
+	ReasonEvicted       Reason = "evicted"        // a model with waiting requests or one that must scale up needs the memory
 	ReasonIdle          Reason = "idle"           // the expected savings in waiting time are below the cost of the memory it holds
 	ReasonSurplus       Reason = "surplus"        // the model's remaining replicas can serve its load
 	ReasonLoadTimeout   Reason = "stuck"          // the load exceeded its time limit; the target may have failed
