--- a/coord/request/admission.go
+++ b/coord/request/admission.go
@@ -9,71 +9,72 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load pattern: more calls come in than the targets can answer in time, at every
-// entry host; calls for a model that is still loading; callers who give up; one
-// workspace that sends several times its part.
+// Load pattern: sustained overload at every entry host, calls for models that are still
+// loading, callers that give up, and one workspace that sends several times its share.
+// Without it: queues grow until every answer is late and memory runs out.
+// Rule: bound the calls and bytes per host and per workspace, and refuse a call on arrival
+// if its estimated wait exceeds its deadline, so that its caller can retry elsewhere.
 //
-// Without bounds, queues grow until every answer is late and memory ends. Without a
-// forecast, a call waits out its whole deadline to be refused, when its caller could
-// have gone elsewhere at once. Without a bound for each workspace, the one that sends
-// most fills the host, and the others are refused before fairness can count.
-//
-// Thresholds: a workspace may hold as much as is left free (the dynamic threshold of
-// Choudhury and Hahne, 1998): one alone gets half of the host, and a newcomer always
-// finds room. What goes on to the agents is bounded in lane.go.
+// The limit per workspace is the dynamic threshold of Choudhury and Hahne (1998): a
+// workspace may hold as much as is free. A single one gets half of the host, and a new one
+// always finds room. Without this limit the heaviest sender fills the host, and the others
+// are refused before fair queueing applies. The class windows (type classQueue) bound what
+// goes on to the agents.
 
-// Bounds limits what an entry host holds at once.
+// Bounds limits the calls, and the bytes of their bodies, that an entry host holds at
+// once, queued and running.
 type Bounds struct {
 	Calls int
 	Bytes int64
 }
 
-// Pending is one call that waits for its turn.
+// Pending is a call as admission control sees it.
 type Pending struct {
 	ID          string
 	Workspace   string
 	KeyID       string
 	Destination string // model or service
 	Class       Class
-	Weight      int64 // the workspace's rate
-	Tokens      int64 // prompt and the most that it may generate
-	Bytes       int64 // of the request body
+	Weight      int64 // fair-share weight: the rate of the workspace, in tokens per second
+	Tokens      int64 // upper bound: prompt plus the maximum to generate
+	Bytes       int64 // size of the request body
 	Arrived     time.Time
 	Deadline    time.Time
 }
 
-// Refusal is the final answer to a call that waited.
+// Refusal is the error with which a queued call ends.
 type Refusal struct {
 	ID  string
 	Err error
 }
 
-// Admission holds the waiting calls of one entry host and says which goes next.
+// Admission is the admission control of one entry host: it queues calls and selects the
+// next one to start. It is not safe for concurrent use.
 type Admission struct {
-	bounds       Bounds
-	calls        int
-	bytes        int64
-	destinations map[string]*destination
-	pending      map[string]Pending // waiting
-	running      map[string]Pending // under way
-	held         map[string]held    // by workspace
-	nextExpiry   time.Time          // no waiting call expires before
+	bounds           Bounds
+	calls            int
+	bytes            int64
+	destinations     map[string]*destination
+	pending          map[string]Pending // queued, by ID
+	running          map[string]Pending // started, by ID
+	usageByWorkspace map[string]usage
+	nextExpiry       time.Time // lower bound of the expiry of all queued calls
 }
 
-// held is what the calls of one workspace take up, waiting and under way.
-type held struct {
+// usage counts the calls of one workspace, queued and running, and the bytes of their bodies.
+type usage struct {
 	calls int
 	bytes int64
 }
 
-// NewAdmission returns an admission without calls.
+// NewAdmission returns an Admission without calls.
 func NewAdmission(b Bounds) *Admission {
 	return &Admission{
-		bounds:       b,
-		destinations: make(map[string]*destination),
-		pending:      make(map[string]Pending),
-		running:      make(map[string]Pending),
-		held:         make(map[string]held),
+		bounds:           b,
+		destinations:     make(map[string]*destination),
+		pending:          make(map[string]Pending),
+		running:          make(map[string]Pending),
+		usageByWorkspace: make(map[string]usage),
 	}
 }
 
@@ -86,53 +87,54 @@
 	return d
 }
 
-// Arrive takes a call to wait for its turn. Errors: fault.Overloaded when the bounds
-// are reached or the wait would pass the deadline, fault.NoCapacity when no replica
-// can be there in time; both say when to come back.
+// Arrive queues a new call. Errors: fault.Overloaded when the bounds are reached or the
+// estimated wait exceeds the deadline, fault.NoCapacity when no replica can be ready in
+// time or no target can hold the destination. Both carry a RetryAfter, except when no
+// target can hold the destination.
 func (a *Admission) Arrive(p Pending, now time.Time) error {
 	if a.has(p.ID) {
-		return fault.New(fault.Internal, "request %s is held already", p.ID)
+		return fault.New(fault.Internal, "request %s is already queued or running", p.ID)
 	}
 	d := a.destination(p.Destination)
-	h := a.held[p.Workspace]
-	if h.calls >= a.bounds.Calls-a.calls || h.bytes+p.Bytes > a.bounds.Bytes-a.bytes {
-		return fault.After(fault.Overloaded, max(d.lane(p).wait(p), leastRetry), "the entry host holds as many requests as it can")
+	used := a.usageByWorkspace[p.Workspace]
+	if used.calls >= a.bounds.Calls-a.calls || used.bytes+p.Bytes > a.bounds.Bytes-a.bytes {
+		return fault.After(fault.Overloaded, max(d.classQueue(p).estimateWait(p), minRetryAfter), "the entry host has no room left for calls of this workspace")
 	}
-	if err := d.check(p, now); err != nil {
+	if err := d.checkFeasible(p, now); err != nil {
 		return err
 	}
-	a.hold(p, 1)
-	a.wait(p, d)
+	a.addUsage(p, 1)
+	a.enqueue(p, d)
 	return nil
 }
 
 func (a *Admission) has(id string) bool {
-	_, waits := a.pending[id]
-	_, runs := a.running[id]
-	return waits || runs
+	_, queued := a.pending[id]
+	_, running := a.running[id]
+	return queued || running
 }
 
-// leastRetry keeps callers who are told to come back from doing so in a tight loop.
-const leastRetry = 50 * time.Millisecond
+// minRetryAfter keeps refused callers from retrying in a tight loop.
+const minRetryAfter = 50 * time.Millisecond
 
-func (a *Admission) wait(p Pending, d *destination) {
+func (a *Admission) enqueue(p Pending, d *destination) {
 	a.pending[p.ID] = p
-	d.lane(p).queue.Push(p.item())
+	d.classQueue(p).queue.Push(p.item())
 	if at := d.expiry(p); a.nextExpiry.IsZero() || at.Before(a.nextExpiry) {
 		a.nextExpiry = at
 	}
 }
 
-// hold adds a call to what is held, or takes it out with sign -1.
-func (a *Admission) hold(p Pending, sign int) {
+// addUsage adds a call to the totals, or removes it if sign is -1.
+func (a *Admission) addUsage(p Pending, sign int) {
 	a.calls += sign
 	a.bytes += int64(sign) * p.Bytes
-	h := a.held[p.Workspace]
-	h.calls += sign
-	h.bytes += int64(sign) * p.Bytes
-	a.held[p.Workspace] = h
-	if h.calls == 0 {
-		delete(a.held, p.Workspace)
+	used := a.usageByWorkspace[p.Workspace]
+	used.calls += sign
+	used.bytes += int64(sign) * p.Bytes
+	a.usageByWorkspace[p.Workspace] = used
+	if used.calls == 0 {
+		delete(a.usageByWorkspace, p.Workspace)
 	}
 }
 
@@ -143,143 +145,147 @@
 	}
 }
 
-// Forecast tells when a destination has a replica; possible false says that none can
-// hold it. The calls that cannot be met any more are refused at once.
+// Forecast records when a destination is expected to have a replica; possible is false if
+// no target can hold it. It returns the queued calls that cannot meet their deadline under
+// this forecast; they are no longer queued.
 func (a *Admission) Forecast(name string, possible bool, readyAt, now time.Time) []Refusal {
 	d := a.destination(name)
-	d.possible, d.ready = possible, readyAt
-	return a.refuse(name, func(p Pending) error {
+	d.possible, d.readyAt = possible, readyAt
+	return a.refuseIf(name, func(p Pending) error {
 		if !possible {
-			return noTarget(name)
+			return noTargetError(name)
 		}
 		if late := readyAt.Sub(d.expiry(p)); late > 0 {
-			return fault.After(fault.NoCapacity, late, "%s is not loaded in time", name)
+			return fault.After(fault.NoCapacity, late, "%s cannot be loaded before the deadline", name)
 		}
 		return nil
 	})
 }
 
-// refuse takes out the waiting calls of a destination for which verdict has an error.
-func (a *Admission) refuse(name string, verdict func(Pending) error) []Refusal {
+// refuseIf removes the queued calls of a destination for which check returns an error, and
+// returns them with this error.
+func (a *Admission) refuseIf(name string, check func(Pending) error) []Refusal {
 	d := a.destination(name)
 	var refusals []Refusal
-	for i := range d.lanes {
+	for i := range d.queues {
 		errs := make(map[string]error)
-		removed := d.lanes[i].queue.RemoveIf(func(it fair.Item) bool {
-			err := verdict(a.pending[it.ID])
+		removed := d.queues[i].queue.RemoveIf(func(it fair.Item) bool {
+			err := check(a.pending[it.ID])
 			if err != nil {
 				errs[it.ID] = err
 			}
 			return err != nil
 		})
 		for _, it := range removed {
-			a.forget(it.ID)
+			a.removePending(it.ID)
 			refusals = append(refusals, Refusal{it.ID, errs[it.ID]})
 		}
 	}
 	return refusals
 }
 
-func (a *Admission) forget(id string) {
+func (a *Admission) removePending(id string) {
 	p, known := a.pending[id]
 	if !known {
 		return
 	}
 	delete(a.pending, id)
-	a.hold(p, -1)
+	a.addUsage(p, -1)
 }
 
-// Next returns a call of a destination to start now, if one may. Call it until it
-// returns none after each event about the destination.
+// Next moves one queued call of a destination to the running ones and returns it, if one
+// may start. After each event that concerns the destination, call it until it returns
+// false.
 func (a *Admission) Next(name string, now time.Time) (Pending, bool) {
 	d, known := a.destinations[name]
-	if !known || d.ready.After(now) || !d.possible {
+	if !known || d.readyAt.After(now) || !d.possible {
 		return Pending{}, false
 	}
-	for i := range d.lanes {
-		l := &d.lanes[i]
-		if !l.open() {
+	for i := range d.queues {
+		q := &d.queues[i]
+		if !q.hasRoom() {
 			continue
 		}
-		it, ok := l.queue.Pop()
+		it, ok := q.queue.Pop()
 		if !ok {
 			continue
 		}
 		p := a.pending[it.ID]
 		delete(a.pending, it.ID)
 		a.running[it.ID] = p
-		l.underWay++
+		q.inFlight++
 		return p, true
 	}
 	return Pending{}, false
 }
 
-// Again puts a started call that was refused without running back into its place.
-// The caller has checked the retry budget. Error: fault.Overloaded when its deadline
-// can no longer be met; the call is then over.
+// Again requeues a started call that was refused without having run; it returns
+// to its place in the order. The caller must have checked the retry budget. Error: fault.Overloaded when
+// the call can no longer meet its deadline; it is then no longer held.
 func (a *Admission) Again(id string, now time.Time) error {
 	p, known := a.running[id]
 	if !known {
-		return fault.New(fault.Internal, "request %s is not under way", id)
+		return fault.New(fault.Internal, "request %s is not running", id)
 	}
 	delete(a.running, id)
 	d := a.destination(p.Destination)
-	l := d.lane(p)
-	l.underWay--
-	l.queue.Adjust(p.Workspace, p.Weight, max(1, p.Tokens), 0)
+	q := d.classQueue(p)
+	q.inFlight--
+	q.queue.Adjust(p.Workspace, p.Weight, max(1, p.Tokens), 0)
 	if !now.Before(d.expiry(p)) {
-		a.hold(p, -1)
-		return fault.After(fault.Overloaded, max(l.wait(p), leastRetry), "the deadline would pass")
+		a.addUsage(p, -1)
+		return fault.After(fault.Overloaded, max(q.estimateWait(p), minRetryAfter), "the request cannot complete before its deadline")
 	}
-	a.wait(p, d)
+	a.enqueue(p, d)
 	return nil
 }
 
-// Overload notes that an agent refused a started call for overload.
+// Overload records that an agent refused a started call because of overload.
 func (a *Admission) Overload(id string, now time.Time) {
 	if p, known := a.running[id]; known {
-		a.destination(p.Destination).lane(p).overload(p.Class.Band, now)
+		a.destination(p.Destination).classQueue(p).decreaseWindow(p.Class.Band, now)
 	}
 }
 
-// Done ends a started call. Served is the tokens that it used, took the time from
-// hand-over to the whole answer; 0 where it did not succeed.
+// Done removes a started call. Served is the number of tokens that it used; took is the
+// time from hand-over to the complete answer, 0 if the call did not succeed.
 func (a *Admission) Done(id string, served int64, took time.Duration, now time.Time) {
 	p, known := a.running[id]
 	if !known {
 		return
 	}
 	delete(a.running, id)
-	a.hold(p, -1)
-	l := a.destination(p.Destination).lane(p)
+	a.addUsage(p, -1)
+	q := a.destination(p.Destination).classQueue(p)
 	if took > 0 {
-		l.grow()
+		q.increaseWindow()
 	}
-	l.underWay--
-	l.queue.Adjust(p.Workspace, p.Weight, max(1, p.Tokens), served)
+	q.inFlight--
+	q.queue.Adjust(p.Workspace, p.Weight, max(1, p.Tokens), served)
 	if took > 0 {
-		// A growing mean brings every expiry forward.
-		a.nextExpiry = a.nextExpiry.Add(-l.speed.Observe(p.Class.Band, took))
-		l.speed.End(now, max(1, p.Tokens), l.queue.Len() > 0)
+		// A larger margin makes queued calls expire earlier, by at most this amount.
+		a.nextExpiry = a.nextExpiry.Add(-q.speed.Observe(p.Class.Band, took))
+		q.speed.End(now, max(1, p.Tokens), q.queue.Len() > 0)
 	}
 }
 
-// Cancel takes out a waiting call whose caller went away; false if it does not wait.
+// Cancel removes a queued call whose caller has disconnected. It reports false if the call
+// is not queued.
 func (a *Admission) Cancel(id string) bool {
 	p, known := a.pending[id]
 	if !known {
 		return false
 	}
-	a.destination(p.Destination).lane(p).queue.Remove(id)
-	a.forget(id)
+	a.destination(p.Destination).classQueue(p).queue.Remove(id)
+	a.removePending(id)
 	return true
 }
 
-// Withdraw refuses the waiting calls that came with a key that is withdrawn.
+// Withdraw removes and returns the queued calls that were made with a withdrawn key.
 func (a *Admission) Withdraw(keyID string) []Refusal {
 	var refusals []Refusal
 	for _, name := range slices.Sorted(maps.Keys(a.destinations)) {
-		refusals = append(refusals, a.refuse(name, func(p Pending) error {
+		refusals = append(refusals, a.refuseIf(name, func(p Pending) error {
 			if p.KeyID != keyID {
 				return nil
 			}
@@ -289,7 +295,7 @@
 	return refusals
 }
 
-// Expire refuses the waiting calls that can no longer be met by their deadline.
+// Expire removes and returns the queued calls that can no longer meet their deadline.
 func (a *Admission) Expire(now time.Time) []Refusal {
 	if len(a.pending) == 0 || now.Before(a.nextExpiry) {
 		return nil
@@ -297,11 +303,11 @@
 	var refusals []Refusal
 	for _, name := range slices.Sorted(maps.Keys(a.destinations)) {
 		d := a.destinations[name]
-		refusals = append(refusals, a.refuse(name, func(p Pending) error {
+		refusals = append(refusals, a.refuseIf(name, func(p Pending) error {
 			if now.Before(d.expiry(p)) {
 				return nil
 			}
-			return fault.After(fault.Overloaded, max(d.lane(p).wait(p), leastRetry), "the wait for %s would pass the deadline", name)
+			return fault.After(fault.Overloaded, max(d.classQueue(p).estimateWait(p), minRetryAfter), "the wait for %s would pass the deadline", name)
 		})...)
 	}
 	a.nextExpiry = time.Time{}
@@ -314,15 +320,16 @@
 	return refusals
 }
 
-// Wake returns when Expire has something to do; the zero time when nothing waits.
-func (a *Admission) Wake() time.Time {
+// NextExpiry returns the earliest time at which Expire may have calls to remove, or the zero
+// time if none is queued.
+func (a *Admission) NextExpiry() time.Time {
 	if len(a.pending) == 0 {
 		return time.Time{}
 	}
 	return a.nextExpiry
 }
 
-// Held returns the calls and bytes held now.
+// Held returns the number of calls, queued and running, and the bytes of their bodies.
 func (a *Admission) Held() (calls int, bytes int64) {
 	return a.calls, a.bytes
 }
--- a/coord/request/attempt.go
+++ b/coord/request/attempt.go
@@ -6,35 +6,36 @@
 	"cowsliptiller/coord/fault"
 )
 
-// A refusal that says "not run" must be true. Without one place that decides it, a
-// timeout before hand-over and one after look alike, and a caller told "not run"
-// orders a second truck. Only the state of the attempts decides here: an error's own
-// word counts only when it is the agent's proof that nothing reached the target.
+// An error that says "not run" must be true: a caller that gets one repeats the call, and
+// an order that did run is then placed twice. A timeout before hand-over and one after it
+// look alike to the code that reports them, so only the states of the attempts decide
+// here. What an error says of itself counts only as the agent's proof that nothing reached
+// the target.
 
-// State is how far an attempt has come.
+// State is the state of an attempt.
 type State int
 
-// The states of an attempt, in order.
+// The states of an attempt. The last three are final.
 const (
-	Waiting    State = iota // nothing was sent
+	Waiting    State = iota // nothing has been sent
 	HandedOver              // bytes may have reached the agent
-	Accepted                // the target began to answer
-	Finished                // the answer was whole
+	Accepted                // the target has begun to answer
+	Finished                // the answer is complete
 	Refused                 // proven not run
-	Failed                  // ended after hand-over without a whole answer
+	Failed                  // ended after hand-over without a complete answer
 )
 
-// Attempt is one try to have a call run.
+// Attempt is one attempt to run a call on a target.
 type Attempt struct {
 	ID     string
 	Target string
 	state  State
 }
 
-// State returns how far the attempt has come.
+// State returns the current state of the attempt.
 func (a *Attempt) State() State { return a.state }
 
-// Ran says what is known of the attempt's run.
+// Ran reports whether the attempt ran, as far as is known.
 func (a *Attempt) Ran() fault.Ran {
 	switch a.state {
 	case Waiting, Refused:
@@ -46,11 +47,11 @@
 	}
 }
 
-func (a *Attempt) over() bool {
+func (a *Attempt) ended() bool {
 	return a.state == Finished || a.state == Refused || a.state == Failed
 }
 
-// Call is one call of a caller with all its attempts. It gives one final answer.
+// Call is a call with all its attempts. It has exactly one final answer.
 type Call struct {
 	ID        string
 	Workspace string
@@ -65,33 +66,34 @@
 	return &Call{ID: id, Workspace: workspace, Class: class, Deadline: deadline}
 }
 
-// Begin adds an attempt. Errors: fault.Expired at or past the deadline,
-// fault.Internal when the call was answered, or when a call that may not be repeated
-// has an attempt that may have run.
+// Begin adds an attempt. Errors: fault.Expired at or after the deadline; fault.Internal
+// when the call has its final answer, or when it may not be repeated and an attempt may
+// have run.
 func (c *Call) Begin(id, target string, now time.Time) (*Attempt, error) {
 	switch {
 	case c.answered:
-		return nil, fault.New(fault.Internal, "call %s was answered", c.ID)
+		return nil, fault.New(fault.Internal, "call %s already has its final answer", c.ID)
 	case !now.Before(c.Deadline):
 		return nil, fault.WithRan(fault.New(fault.Expired, "the deadline passed"), c.Ran(), c.Ran() == fault.RanNo)
 	case !c.MayRepeat():
-		return nil, fault.WithRan(fault.New(fault.Internal, "call %s may have run", c.ID), c.Ran(), false)
+		return nil, fault.WithRan(fault.New(fault.Internal, "call %s may have run and is not repeatable", c.ID), c.Ran(), false)
 	}
 	a := &Attempt{ID: id, Target: target}
 	c.attempts = append(c.attempts, a)
 	return a, nil
 }
 
-// MayRepeat reports whether a further attempt could not run the call twice.
+// MayRepeat reports whether another attempt is allowed: the call is idempotent, or no
+// attempt can have run.
 func (c *Call) MayRepeat() bool {
 	return c.Class.Repeatable || c.Ran() == fault.RanNo
 }
 
-// Attempts returns the number of attempts begun.
+// Attempts returns the number of attempts, including those that were never sent.
 func (c *Call) Attempts() int { return len(c.attempts) }
 
-// Reached returns the number of attempts that may have reached a target.
-func (c *Call) Reached() int {
+// PossibleRuns returns the number of attempts that ran or may have run.
+func (c *Call) PossibleRuns() int {
 	n := 0
 	for _, a := range c.attempts {
 		if a.Ran() != fault.RanNo {
@@ -101,7 +103,7 @@
 	return n
 }
 
-// Ran says what is known of the call's run over all attempts.
+// Ran reports whether any attempt of the call ran, as far as is known.
 func (c *Call) Ran() fault.Ran {
 	ran := fault.RanNo
 	for _, a := range c.attempts {
@@ -115,9 +117,9 @@
 	return ran
 }
 
-// HandOver is called before the first byte is sent to the agent. It reports false
-// when the deadline has passed, the attempt is over, or another attempt of a call that
-// may not be repeated may have run: then nothing may be sent.
+// HandOver must be called before the first byte is sent to the agent. It reports false, and
+// nothing may be sent, when the deadline has passed, the call has its final answer, the
+// attempt is not waiting, or the call may not be repeated and another attempt may have run.
 func (c *Call) HandOver(a *Attempt, now time.Time) bool {
 	if a.state != Waiting || c.answered || !now.Before(c.Deadline) || !c.MayRepeat() {
 		return false
@@ -126,8 +128,8 @@
 	return true
 }
 
-// Accept notes that the target began to answer; false for an attempt that is over,
-// whose reply is late and must be dropped.
+// Accept records that the target has begun to answer. It reports false for an attempt that
+// has ended; its late reply must be dropped.
 func (c *Call) Accept(a *Attempt) bool {
 	if a.state != HandedOver {
 		return false
@@ -136,7 +138,8 @@
 	return true
 }
 
-// Finish notes that the answer was whole; false for an attempt that is over.
+// Finish records that the answer is complete. It reports false for an attempt that has
+// ended.
 func (c *Call) Finish(a *Attempt) bool {
 	if a.state != HandedOver && a.state != Accepted {
 		return false
@@ -145,12 +148,12 @@
 	return true
 }
 
-// Fail ends an attempt and returns its error with what is true of the run. Proof
-// says that the error is the agent's own word that the target was not reached, or
-// that no byte was sent; only then is a handed-over attempt not run.
+// Fail ends an attempt and returns its error with Ran set from the attempt's state. Proof
+// is true if the agent itself reported that the target was not reached, or if no byte was
+// sent; only then does an attempt count as not run after hand-over.
 func (c *Call) Fail(a *Attempt, err error, proof bool) *fault.Error {
 	e := *fault.From(err)
-	if !a.over() {
+	if !a.ended() {
 		if a.state == Waiting || a.state == HandedOver && proof && e.Ran == fault.RanNo {
 			a.state = Refused
 		} else {
@@ -162,9 +165,9 @@
 	return &e
 }
 
-// Answer makes the call's one final answer of err: nil for a whole answer. It reports
-// false when a final answer was given before. Attempts that are not over are
-// abandoned, and their late replies dropped.
+// Answer sets the call's final answer: err, or nil for a complete answer. It reports false
+// if the call already has one. On an error, attempts that have not ended are abandoned, and
+// their late replies are dropped.
 func (c *Call) Answer(err error) (*fault.Error, bool) {
 	if c.answered {
 		return nil, false
@@ -174,22 +177,23 @@
 		return nil, true
 	}
 	for _, a := range c.attempts {
-		if !a.over() {
+		if !a.ended() {
 			c.Fail(a, err, false)
 		}
 	}
 	e := *fault.From(err)
 	e.Ran = c.Ran()
 	if e.Ran != fault.RanNo {
-		e.Kind = maybeRan(e.Kind)
+		e.Kind = possibleRunKind(e.Kind)
 		e.Repeatable = c.Class.Repeatable
 	}
 	return &e, true
 }
 
-// maybeRan returns the kind to answer with when the call may have run and the kind
-// of the last error says it did not: the earlier attempt's uncertainty wins.
-func maybeRan(k fault.Kind) fault.Kind {
+// possibleRunKind returns the kind to answer with when the call may have run. A kind that
+// means "not run" describes only the last attempt, so it is replaced by one that leaves
+// open whether an earlier attempt ran.
+func possibleRunKind(k fault.Kind) fault.Kind {
 	if fault.AnswerFor(k).Ran != fault.RanNo {
 		return k
 	}
--- a/coord/request/backlog.go
+++ b/coord/request/backlog.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// Load pattern: demand moves to a model that few targets hold, or comes in a burst;
-// for some seconds more requests come than these targets can run.
-//
-// Without this file every request joins the queue. It grows until each waits for as
-// long as its caller's patience, so that all are served late or not at all, although
-// the targets run as many requests as ever. A queue that is kept shorter than the
-// target latency serves as many, and each in time; the others come back when told.
+// Load pattern: for some seconds, after a burst or a shift of demand to a model that few
+// targets hold, more requests arrive than these targets can run.
+// Without it: the queue grows to the callers' timeouts, and all answers are late or missing.
+// Rule: a request is queued only if its estimated wait leaves it within the target latency,
+// which keeps throughput as it is; the others are refused with a time to retry after.
 
-// Backlog forecasts how long a request is queued at a target, from how many run and
-// wait there and how long one runs. It is not safe for concurrent use.
+// Backlog estimates the queueing delay at a target from the number of requests that run
+// and are queued there and from the mean run time. It is not safe for concurrent use.
 type Backlog struct {
-	run  map[string]float64 // mean run in seconds, by service
-	sent map[string]int     // by target, since the newest report
+	mean map[string]float64 // moving mean of the run time in seconds, by service
+	sent map[string]int     // requests sent since the latest report, by target
 }
 
-// runShare is the weight of the newest run in the mean: the mean of some thirty.
-const runShare = 1.0 / 32
+// runMeanWeight is the weight of the latest run in the moving mean, which covers about 30
+// runs.
+const runMeanWeight = 1.0 / 32
 
-// NewBacklog returns a forecast that expects no wait until runs are known.
-func NewBacklog() *Backlog { return &Backlog{run: map[string]float64{}, sent: map[string]int{}} }
+// NewBacklog returns a Backlog that estimates no wait until a run is recorded.
+func NewBacklog() *Backlog { return &Backlog{mean: map[string]float64{}, sent: map[string]int{}} }
 
-// Ran notes how long a request ran.
+// Ran records how long a request ran.
 func (b *Backlog) Ran(service string, took time.Duration) {
-	mean, known := b.run[service]
+	mean, known := b.mean[service]
 	if !known {
 		mean = took.Seconds()
 	}
-	b.run[service] = mean + runShare*(took.Seconds()-mean)
+	b.mean[service] = mean + runMeanWeight*(took.Seconds()-mean)
 }
 
-// LongestRun returns the mean run of the service whose requests run longest; zero before
-// any has run.
+// LongestRun returns the largest mean run time of any service, or zero if no run is
+// recorded.
 func (b *Backlog) LongestRun() time.Duration {
 	longest := 0.0
-	for _, mean := range b.run { // any order: the largest is looked for
+	for _, mean := range b.mean {
 		longest = max(longest, mean)
 	}
 	return time.Duration(longest * float64(time.Second))
 }
 
-// Started notes a request that went to a target: the newest report lacks it.
+// Started records a request that was sent to a target and is not in its latest report yet.
 func (b *Backlog) Started(target string) { b.sent[target]++ }
 
-// Reported notes that the reports are new.
+// Reported records that new reports of all targets have arrived.
 func (b *Backlog) Reported() { clear(b.sent) }
 
-// Wait returns how long a request that goes to a target now is queued there: those
-// before it, at the pace at which runs end.
+// Wait returns how long a request that is sent to a target now is expected to be queued:
+// the time in which the requests queued before it start, at the rate at which running
+// requests end.
 func (b *Backlog) Wait(target, service string, running, queued, slots int) time.Duration {
 	if queued == 0 && running+b.sent[target] < slots {
 		return 0
@@ -59,37 +59,38 @@
 	} else {
 		queued += b.sent[target]
 	}
-	return time.Duration(float64(queued) * b.run[service] / float64(max(1, running)) * float64(time.Second))
+	return time.Duration(float64(queued) * b.mean[service] / float64(max(1, running)) * float64(time.Second))
 }
 
 const (
-	// inTimeShare of the target latency may be spent in the queue: the rest is for
-	// reading the prompt, and for a forecast that is too short.
-	inTimeShare = 0.8
-	// lateShare of its caller's patience is what a request may wait that is late in
-	// any case, because it waited for its model.
-	lateShare = 0.4
-	// comeBackLeast and comeBackMost bound when a refused caller is told to return:
-	// within one interval of reports nothing is known to have changed, and after two
-	// seconds further copies of the model can be there.
-	comeBackLeast = 250 * time.Millisecond
-	comeBackMost  = 2 * time.Second
+	// queueLatencyShare is the share of the target latency that a request may be queued. The
+	// rest is for prefill and for estimates that are too low.
+	queueLatencyShare = 0.8
+	// lateWaitShare is the share of the caller's timeout that a request may be queued if it
+	// has missed the target latency anyway, because it waited for its model to load.
+	lateWaitShare = 0.4
+	// minQueueRetryAfter and maxQueueRetryAfter bound the time after which a refused caller
+	// may retry. Sooner than one report interval nothing is known to have changed, and after
+	// two seconds more replicas of the model can be loaded.
+	minQueueRetryAfter = 250 * time.Millisecond
+	maxQueueRetryAfter = 2 * time.Second
 )
 
-// WorthWaiting reports whether a request should join a queue of that length, after
-// it has spent a time already.
+// WorthWaiting reports whether a request should join a queue with the estimated wait. Spent
+// is the time since its arrival, latency the target latency of its route, and patience the
+// time after which its caller gives up.
 func WorthWaiting(wait, spent, latency, patience time.Duration) bool {
 	if wait <= 0 {
 		return true
 	}
-	if limit := time.Duration(inTimeShare * float64(latency)); spent < limit {
+	if limit := time.Duration(queueLatencyShare * float64(latency)); spent < limit {
 		return wait <= limit-spent
 	}
-	return wait <= time.Duration(lateShare*float64(patience))
+	return wait <= time.Duration(lateWaitShare*float64(patience))
 }
 
-// ComeBack is when a caller that was refused for a queue may return: when that queue
-// has been worked off.
+// ComeBack returns the time after which a caller that was refused because of a queue may
+// retry: the estimated wait, within bounds.
 func ComeBack(wait time.Duration) time.Duration {
-	return min(max(wait, comeBackLeast), comeBackMost)
+	return min(max(wait, minQueueRetryAfter), maxQueueRetryAfter)
 }
--- a/coord/request/bench_test.go
+++ b/coord/request/bench_test.go
@@ -49,7 +49,7 @@
 type entryHost struct {
 	admission *request.Admission
 	budget    *request.RetryBudget
-	circuits  map[*fakeTarget]*request.Circuit
+	circuits  map[*fakeTarget]*request.CircuitBreaker
 	dead      bool
 	sent      map[*fakeTarget]int       // under way
 	full      map[*fakeTarget]time.Time // refused for overload until
@@ -93,10 +93,10 @@
 	for range entries {
 		e := &entryHost{
 			admission: request.NewAdmission(request.Bounds{Calls: 4096, Bytes: 1 << 30}),
-			budget:    request.NewRetryBudget(), circuits: map[*fakeTarget]*request.Circuit{}, sent: map[*fakeTarget]int{}, full: map[*fakeTarget]time.Time{},
+			budget:    request.NewRetryBudget(), circuits: map[*fakeTarget]*request.CircuitBreaker{}, sent: map[*fakeTarget]int{}, full: map[*fakeTarget]time.Time{},
 		}
 		for _, t := range p.targets {
-			e.circuits[t] = &request.Circuit{}
+			e.circuits[t] = &request.CircuitBreaker{}
 		}
 		p.entries = append(p.entries, e)
 	}
@@ -218,7 +218,7 @@
 func (p *play) route(e *entryHost) *fakeTarget {
 	n := p.r.Intn(len(p.targets))
 	one, two := p.targets[n], p.targets[(n+1+p.r.Intn(max(1, len(p.targets)-1)))%len(p.targets)]
-	if p.now.Before(e.full[one]) || p.r.Float64() >= e.circuits[one].Share(p.now) || e.sent[two] < e.sent[one] && !p.now.Before(e.full[two]) && e.circuits[two].Share(p.now) == 1 {
+	if p.now.Before(e.full[one]) || p.r.Float64() >= e.circuits[one].TrafficShare(p.now) || e.sent[two] < e.sent[one] && !p.now.Before(e.full[two]) && e.circuits[two].TrafficShare(p.now) == 1 {
 		return two
 	}
 	return one
@@ -272,7 +272,7 @@
 			return
 		}
 		c.entry.budget.Success()
-		c.entry.circuits[t].Success(p.now)
+		c.entry.circuits[t].RecordSuccess(p.now)
 		c.entry.admission.Done(c.call.ID, c.tokens, p.now.Sub(c.handed), p.now)
 		p.answer(c, nil)
 		p.pump(c.entry)
--- a/coord/request/budget.go
+++ b/coord/request/budget.go
@@ -8,48 +8,46 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load pattern: a target or a network path fails for many calls at once, or a fleet is
-// past its capacity and refuses.
-//
-// Without a budget, each failed call is sent again and the load on what is left
-// multiplies just when it can take least, so that a short fault becomes a lasting one.
-//
-// Thresholds: retries and hedges together are at most a tenth of successes, with a
-// reserve of ten so that a quiet host can retry at all ("The Site Reliability
-// Workbook" and the gRPC retry design, A6, use the same order). A refusal for overload
-// costs the target next to nothing and puts the call back into its place at the entry
-// host, behind a window that the refusal has cut: one for each success may go on so,
-// which ends as soon as targets only refuse.
+// Load pattern: a target or network path fails for many calls at once, or an overloaded
+// fleet refuses calls.
+// Without it: retries multiply the load on what is left, and a short fault becomes lasting.
+// Rule: retries and hedges are at most a tenth of the successes plus a reserve of ten;
+// requeues after a refusal for overload are at most one per success plus a reserve.
 
+// The reserve of retries lets a host with little traffic retry at all; "The Site
+// Reliability Workbook" and the gRPC retry design (A6) use the same order of magnitude.
+// Requeues get a larger budget because a refusal costs the target next to nothing, and the
+// call returns to its place at the entry host, behind a window that the refusal has
+// reduced. They stop when targets only refuse: only successes refill the budget.
 const (
-	retryShare   = 0.1
-	retryReserve = 10.0
-	queueShare   = 1.0
-	queueReserve = 64.0
-	backoffFirst = 10 * time.Millisecond
-	backoffMost  = 500 * time.Millisecond
-	// MaxAttempts bounds the attempts of one call that reached a target.
+	retryRatio     = 0.1
+	retryReserve   = 10.0
+	requeueRatio   = 1.0
+	requeueReserve = 64.0
+	initialBackoff = 10 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
+	// MaxAttempts is the maximum number of attempts of one call that may have run.
 	MaxAttempts = 3
 )
 
-// RetryBudget allows retries as a share of successes.
+// RetryBudget limits the retries of one entry host to a share of its successful calls.
 type RetryBudget struct {
-	retries float64
-	queued  float64 // calls that may go back to wait after a refusal for overload
+	retryTokens   float64
+	requeueTokens float64 // for calls that are requeued after a refusal for overload
 }
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() *RetryBudget {
-	return &RetryBudget{retries: retryReserve, queued: queueReserve}
+	return &RetryBudget{retryTokens: retryReserve, requeueTokens: requeueReserve}
 }
 
-// Success notes a call that was answered.
+// Success records a call that was answered.
 func (b *RetryBudget) Success() {
-	b.retries = min(retryReserve, b.retries+retryShare)
-	b.queued = min(queueReserve, b.queued+queueShare)
+	b.retryTokens = min(retryReserve, b.retryTokens+retryRatio)
+	b.requeueTokens = min(requeueReserve, b.requeueTokens+requeueRatio)
 }
 
-func take(budget *float64) bool {
+func takeToken(budget *float64) bool {
 	if *budget < 1 {
 		return false
 	}
@@ -57,35 +55,35 @@
 	return true
 }
 
-// Retry decides whether a call goes on after a failed attempt and after which pause.
-// A refusal that only corrects the view (not_here, leaving) goes on at once and needs
-// no budget. After a refusal for overload the call waits for its turn again
-// (Admission.Again); without budget the refusal is the final answer.
+// Retry decides whether a call is retried after a failed attempt, and after which pause. A
+// refusal that only shows that the routing view is stale (not_here, leaving) is retried at
+// once and needs no budget. After a refusal for overload the call is requeued
+// (Admission.Again); if the budget is empty, the refusal is the final answer.
 func (b *RetryBudget) Retry(c *Call, e *fault.Error, now time.Time, r *rand.Rand) (pause time.Duration, again bool) {
-	if !c.MayRepeat() || c.Reached() >= MaxAttempts || !retryable(e) {
+	if !c.MayRepeat() || c.PossibleRuns() >= MaxAttempts || !retryable(e) {
 		return 0, false
 	}
-	if moved(e.Kind) {
+	if staleView(e.Kind) {
 		return 0, now.Before(c.Deadline)
 	}
-	// The random part comes on top of what the target told, or all that it refused
-	// together would come back together.
+	// The jitter is added to the target's RetryAfter, otherwise all calls that it refused
+	// at one time would return at one time.
 	pause = e.RetryAfter + backoff(c.Attempts(), r)
-	if !now.Add(pause).Before(c.Deadline) || !take(b.of(e.Kind)) {
+	if !now.Add(pause).Before(c.Deadline) || !takeToken(b.tokensFor(e.Kind)) {
 		return 0, false
 	}
 	return pause, true
 }
 
-// of returns the budget that a retry after an error of a kind comes from.
-func (b *RetryBudget) of(k fault.Kind) *float64 {
+// tokensFor returns the budget for retries after an error of a kind.
+func (b *RetryBudget) tokensFor(k fault.Kind) *float64 {
 	if k == fault.Overloaded {
-		return &b.queued
+		return &b.requeueTokens
 	}
-	return &b.retries
+	return &b.retryTokens
 }
 
-// retryable reports whether another target may do better.
+// retryable reports whether another target may answer the call.
 func retryable(e *fault.Error) bool {
 	switch e.Kind {
 	case fault.NotHere, fault.Leaving, fault.Overloaded, fault.Unavailable, fault.TargetFailed, fault.StreamBroken:
@@ -95,24 +93,24 @@
 	}
 }
 
-// moved reports whether the refusal only says that the view was old.
-func moved(k fault.Kind) bool {
+// staleView reports whether a refusal only shows that the routing view is stale.
+func staleView(k fault.Kind) bool {
 	return k == fault.NotHere || k == fault.Leaving
 }
 
-// backoff doubles with each attempt and takes a random part of it (full jitter), so
-// that calls that failed together do not come back together.
+// backoff returns an exponential backoff with full jitter, so that calls that failed at one
+// time do not return at one time.
 func backoff(attempts int, r *rand.Rand) time.Duration {
-	most := min(backoffMost, backoffFirst<<min(attempts, 16))
+	most := min(maxBackoff, initialBackoff<<min(attempts, 16))
 	return time.Duration(r.Int63n(int64(most)) + 1)
 }
 
-// Hedge decides whether a second attempt starts while the first has not answered:
-// only a repeatable interactive call, once, after the delay that nearly all calls
-// answer within, and inside the budget.
+// Hedge decides whether to start a second attempt while the first has not answered. Only a
+// repeatable interactive call is hedged, once, after the delay within which nearly all
+// calls answer (usual), and within the retry budget.
 func (b *RetryBudget) Hedge(c *Call, waited, usual time.Duration) bool {
 	if !c.Class.Repeatable || c.Class.Band != fair.Interactive || c.Attempts() != 1 || usual <= 0 || waited < usual {
 		return false
 	}
-	return take(&b.retries)
+	return takeToken(&b.retryTokens)
 }
--- a/coord/request/circuit.go
+++ b/coord/request/circuit.go
@@ -2,65 +2,64 @@
 
 import "time"
 
-// Load pattern: one target fails or hangs while its peers are well.
-//
-// Without a circuit, each call that is routed there spends a part of its deadline and
-// of the retry budget. Without a gradual return, a target that is back gets its whole
-// share at once, with cold caches, and fails again.
-//
-// Thresholds: five failures in a row open the circuit, which one bad request cannot
-// do; it stays open for a second, then twice as long each time up to thirty; on return
-// the target gets a tenth of its calls, and a tenth more with each success.
+// Load pattern: one target fails or hangs while the others are healthy.
+// Without it: calls routed there waste part of their deadline and of the retry budget, and a
+// target that recovers gets its full share at once, with cold caches, and fails again.
+// Rule: consecutive failures open the circuit, for a time that doubles with each opening;
+// then the target's share of calls grows by a tenth with each success.
 
 const (
-	circuitFailures = 5
-	circuitFirst    = time.Second
-	circuitMost     = 30 * time.Second
-	circuitStep     = 0.1
+	// failureThreshold is the number of consecutive failures that opens the circuit. One
+	// bad request, with its retries, does not reach it.
+	failureThreshold = 5
+	minOpenTime      = time.Second
+	maxOpenTime      = 30 * time.Second
+	recoveryStep     = 0.1
 )
 
-// Circuit says what share of calls a target gets. The zero value is closed.
-type Circuit struct {
-	failures int
-	openFor  time.Duration
-	until    time.Time
-	share    float64 // while returning; 0 with openFor 0 means closed
+// CircuitBreaker determines the share of its usual calls that a target gets. The zero value
+// is closed.
+type CircuitBreaker struct {
+	failures      int
+	openFor       time.Duration
+	openUntil     time.Time
+	recoveryShare float64 // while half-open; the circuit is closed if openFor is 0
 }
 
-// Share returns the part of its usual calls that the target gets now, 0 to 1.
-func (c *Circuit) Share(now time.Time) float64 {
+// TrafficShare returns the share of its usual calls that the target gets now, from 0 to 1.
+func (c *CircuitBreaker) TrafficShare(now time.Time) float64 {
 	switch {
 	case c.openFor == 0:
 		return 1
-	case now.Before(c.until):
+	case now.Before(c.openUntil):
 		return 0
 	default:
-		return max(c.share, circuitStep)
+		return max(c.recoveryShare, recoveryStep)
 	}
 }
 
-// Success notes an answered call.
-func (c *Circuit) Success(now time.Time) {
+// RecordSuccess records a call that the target answered.
+func (c *CircuitBreaker) RecordSuccess(now time.Time) {
 	c.failures = 0
-	if c.openFor == 0 || now.Before(c.until) {
+	if c.openFor == 0 || now.Before(c.openUntil) {
 		return
 	}
-	c.share = max(c.share, circuitStep) + circuitStep
-	if c.share >= 1 {
-		c.openFor, c.share = 0, 0
+	c.recoveryShare = max(c.recoveryShare, recoveryStep) + recoveryStep
+	if c.recoveryShare >= 1 {
+		c.openFor, c.recoveryShare = 0, 0
 	}
 }
 
-// Failure notes a call that the target did not answer. Refusals are answers.
-func (c *Circuit) Failure(now time.Time) {
-	if c.openFor > 0 && now.Before(c.until) {
-		return // a call from before it opened
+// RecordFailure records a call that the target did not answer. Refusals are answers.
+func (c *CircuitBreaker) RecordFailure(now time.Time) {
+	if c.openFor > 0 && now.Before(c.openUntil) {
+		return // the call was sent before the circuit opened
 	}
 	c.failures++
-	if c.openFor == 0 && c.failures < circuitFailures {
+	if c.openFor == 0 && c.failures < failureThreshold {
 		return
 	}
-	c.openFor = min(circuitMost, max(circuitFirst, 2*c.openFor))
-	c.until = now.Add(c.openFor)
-	c.failures, c.share = 0, 0
+	c.openFor = min(maxOpenTime, max(minOpenTime, 2*c.openFor))
+	c.openUntil = now.Add(c.openFor)
+	c.failures, c.recoveryShare = 0, 0
 }
--- a/coord/request/class.go
+++ b/coord/request/class.go
@@ -8,15 +8,15 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Class says how a call is treated.
+// Class is the scheduling class of a call.
 type Class struct {
 	Name       string
 	Band       fair.Band
-	Deadline   time.Duration // from when the entry host took the call
-	Repeatable bool          // idempotent: may be sent again after hand-over
+	Deadline   time.Duration // from the arrival of the call at the entry host
+	Repeatable bool          // idempotent: may be retried after hand-over
 }
 
-// ClassOf returns the class that the configuration describes.
+// ClassOf returns the class that the configuration spec describes.
 func ClassOf(spec config.ClassSpec) Class {
 	c := Class{Name: spec.Name, Deadline: spec.Deadline, Repeatable: spec.Repeatable}
 	switch spec.Urgency {
@@ -30,12 +30,12 @@
 	return c
 }
 
-// DeadlineOf returns the time by which a call taken at now has its final answer: the
-// class's deadline, or what the caller wants where that is sooner. Wanted 0 is no
-// wish; fault.InvalidRequest for a negative one.
+// DeadlineOf returns the time by which a call that arrived at now must have its final
+// answer. It is the earlier of the class deadline and the one that the caller wanted;
+// 0 means that the caller set none. Error: fault.InvalidRequest if wanted is negative.
 func (c Class) DeadlineOf(now time.Time, wanted time.Duration) (time.Time, error) {
 	if wanted < 0 {
-		return time.Time{}, fault.New(fault.InvalidRequest, "deadline of %v", wanted)
+		return time.Time{}, fault.New(fault.InvalidRequest, "negative deadline: %v", wanted)
 	}
 	if wanted == 0 || wanted > c.Deadline {
 		wanted = c.Deadline
--- a/coord/request/demand.go
+++ b/coord/request/demand.go
@@ -8,15 +8,15 @@
 	"cowsliptiller/coord/fair"
 )
 
-// Demand is what waits for one destination.
+// Demand summarizes the calls that are queued for one destination.
 type Demand struct {
 	Destination string
 	Waiting     int
-	Earliest    time.Time // deadline
+	Earliest    time.Time // earliest deadline
 	Interactive bool
 }
 
-// Demands returns what waits for each destination, in order of name.
+// Demands returns the demand of each destination with queued calls, sorted by name.
 func (a *Admission) Demands() []Demand {
 	byName := make(map[string]*Demand)
 	for _, p := range a.pending {
--- a/coord/request/doc.go
+++ b/coord/request/doc.go
@@ -1,6 +1,7 @@
-// Package request is the aggregate of one call: its class and deadline, the states
-// of its attempts, admission at an entry host, the retry budget, and quarantine.
+// Package request holds the rules for one call: its class and deadline, the states of
+// its attempts, admission control at an entry host, retry budgets, and quarantine of
+// requests that crash their targets.
 //
-// All types are plain data without locks: the entry role guards each with its own
-// mutex and never holds two of them at once.
+// The types do no locking. The entry role guards each of them with its own mutex and
+// never holds two of these mutexes at once.
 package request
--- a/coord/request/fleetbudget.go
+++ b/coord/request/fleetbudget.go
@@ -2,64 +2,64 @@
 
 import "time"
 
-// Load pattern: targets fail or refuse for many requests at once, at every entry
-// host, and each host's own retries look few.
-//
-// Without a bound over the fleet the retries of all hosts together multiply the load
-// on a service. The bound is the platform's: in any window, repeats are at most a
-// share of the requests plus a reserve. Each host takes its own share of the requests
-// and its part of the reserve, so that no word between hosts is needed.
+// Load pattern: targets fail or refuse many requests at once, at every entry host, and each
+// host's own retries look few.
+// Without it: the retries of all hosts together multiply the load on a service.
+// Rule: in any window, the fleet's retries are at most a share of its requests plus a
+// reserve. Each host applies the share to its own requests and takes its part of the reserve.
 
+// Splitting the bound like this needs no coordination between hosts.
 const (
-	// budgetSlots is the resolution of the sliding window.
-	budgetSlots = 20
-	// budgetMargin leaves room for hosts that know different numbers of hosts, and
-	// for what counts at a window's edges.
-	budgetMargin = 0.8
+	// windowSlots is the number of slots of the sliding window.
+	windowSlots = 20
+	// budgetSafetyFactor leaves room for hosts that disagree on the number of hosts, and for
+	// the error of the slots at the edges of the window.
+	budgetSafetyFactor = 0.8
 )
 
-// FleetBudget bounds one host's repeats to one service.
+// FleetBudget limits the retries of one host to one service. It is not safe for concurrent
+// use.
 type FleetBudget struct {
-	Ratio   float64 // repeats as a share of requests
-	Reserve float64 // repeats on top, for the whole fleet
+	Ratio   float64 // retries as a share of requests
+	Reserve float64 // additional retries per window, for the whole fleet
 	Window  time.Duration
 
-	requests [budgetSlots]float64
-	repeats  [budgetSlots]float64
+	requests [windowSlots]float64
+	retries  [windowSlots]float64
 	slot     int64
-	base     time.Time // slots count from here, by the monotonic clock
+	base     time.Time // start of slot 0; carries the monotonic clock
 }
 
-// Request notes a first attempt.
+// Request records the first attempt of a request.
 func (b *FleetBudget) Request(now time.Time) {
 	b.advance(now)
-	b.requests[b.slot%budgetSlots]++
+	b.requests[b.slot%windowSlots]++
 }
 
-// Repeat takes one repeat from the budget, where there are that many hosts; false
-// when none is left.
+// Repeat takes one retry from the budget of a host in a fleet of that many hosts. It reports
+// false if none is left.
 func (b *FleetBudget) Repeat(hosts int, now time.Time) bool {
 	b.advance(now)
-	requests, repeats := 0.0, 0.0
-	for i := range budgetSlots {
+	requests, retries := 0.0, 0.0
+	for i := range windowSlots {
 		requests += b.requests[i]
-		repeats += b.repeats[i]
+		retries += b.retries[i]
 	}
-	if repeats+1 > budgetMargin*(b.Ratio*requests+b.Reserve/float64(max(1, hosts))) {
+	if retries+1 > budgetSafetyFactor*(b.Ratio*requests+b.Reserve/float64(max(1, hosts))) {
 		return false
 	}
-	b.repeats[b.slot%budgetSlots]++
+	b.retries[b.slot%windowSlots]++
 	return true
 }
 
-// advance empties the slots that have passed since the last event.
+// advance moves to the current slot and clears the slots that it enters.
 func (b *FleetBudget) advance(now time.Time) {
 	if b.base.IsZero() {
 		b.base = now
 	}
-	slot := int64(now.Sub(b.base) / (b.Window / budgetSlots))
-	for n := max(b.slot+1, slot-budgetSlots+1); n <= slot; n++ {
-		b.requests[n%budgetSlots], b.repeats[n%budgetSlots] = 0, 0
+	slot := int64(now.Sub(b.base) / (b.Window / windowSlots))
+	for n := max(b.slot+1, slot-windowSlots+1); n <= slot; n++ {
+		b.requests[n%windowSlots], b.retries[n%windowSlots] = 0, 0
 	}
 	b.slot = max(b.slot, slot)
 }
--- a/coord/request/lane.go
+++ b/coord/request/lane.go
@@ -7,103 +7,107 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load pattern: the targets of a destination are full, and each entry host has more.
+// Load pattern: all targets of a destination are at capacity and each entry host has more calls.
+// Without it: hosts send everything to the agents, which refuse it, and the retries add load.
+// Rule: a window limits the calls in flight, per class and with additive increase and
+// multiplicative decrease: plus one per full window of answers, minus a fifth after a
+// refusal for overload, at most once per mean service time.
 //
-// Without a window, entry hosts push all they have to the agents, which refuse it, and
-// the retries load them further. With one window for all classes, long work that has
-// to finish takes it up and a person's short call waits at the entry host, where no
-// agent sees that it should go first.
-//
-// Thresholds: each class has its own window of calls under way, so that the agents
-// order classes against each other. It grows by one for each full window of answers
-// and a refusal for overload cuts it by a fifth, at most once for each service time
-// (additive increase, multiplicative decrease). Moving it by the queue lengths that
-// come with answers, before agents refuse, was tried and served fewer: a target's
-// queue is that of all its models, and each of them gave way to the others
-// (docs/design/admission.md).
+// Each class has its own window, so that agents see calls of all classes and order them.
+// With one window, long must-finish calls filled it, and short interactive calls waited at
+// the entry host, where no agent could prioritize them. Adjusting the window by the queue
+// lengths that come with answers, before agents refuse, was tried and served fewer calls: a
+// target's queue holds the requests of all its models, so each model backed off because
+// of the others (docs/design/admission.md).
 const (
-	startWindow  = 8
-	windowShrink = 0.8
-	maxWindow    = 4096
+	initialWindow        = 8
+	windowDecreaseFactor = 0.8
+	maxWindow            = 4096
 )
 
-// destination is one model or service as an entry host sees it.
+// destination is the state that an entry host keeps for one model or service.
 type destination struct {
-	lanes    [fair.Bands]lane
-	ready    time.Time // forecast: no replica before this time
+	queues   [fair.Bands]classQueue
+	readyAt  time.Time // forecast: no replica is ready before this time
 	possible bool
 }
 
-// lane is the waiting and running calls of one class of urgency.
-type lane struct {
-	queue    fair.Queue
-	underWay int
-	window   float64
-	shrunk   time.Time
-	speed    fair.Speed
+// classQueue holds the queued calls of one destination and band, and limits how many are
+// in flight.
+type classQueue struct {
+	queue        fair.Queue
+	inFlight     int
+	window       float64
+	lastDecrease time.Time
+	speed        fair.Speed
 }
 
 func newDestination() *destination {
 	d := &destination{possible: true}
-	for b := range d.lanes {
-		d.lanes[b].window = startWindow
+	for b := range d.queues {
+		d.queues[b].window = initialWindow
 	}
 	return d
 }
 
-func (d *destination) lane(p Pending) *lane { return &d.lanes[p.Class.Band] }
+func (d *destination) classQueue(p Pending) *classQueue { return &d.queues[p.Class.Band] }
 
-func (l *lane) open() bool { return l.underWay < int(l.window) }
+func (q *classQueue) hasRoom() bool { return q.inFlight < int(q.window) }
 
-// grow opens the window where it is what holds calls back.
-func (l *lane) grow() {
-	if !l.open() {
-		l.window = min(maxWindow, l.window+1/l.window)
+// increaseWindow is the additive increase after an answer. It applies only while the
+// window is what limits the calls in flight.
+func (q *classQueue) increaseWindow() {
+	if !q.hasRoom() {
+		q.window = min(maxWindow, q.window+1/q.window)
 	}
 }
 
-// overload cuts the window after a refusal.
-func (l *lane) overload(b fair.Band, now time.Time) {
-	if now.Sub(l.shrunk) < l.speed.Mean(b) {
+// decreaseWindow is the multiplicative decrease after a refusal for overload, at most once
+// per mean service time.
+func (q *classQueue) decreaseWindow(b fair.Band, now time.Time) {
+	if now.Sub(q.lastDecrease) < q.speed.Mean(b) {
 		return
 	}
-	l.shrunk = now
-	l.window = max(1, l.window*windowShrink)
+	q.lastDecrease = now
+	q.window = max(1, q.window*windowDecreaseFactor)
 }
 
-// wait forecasts how long a new call waits here: what goes before it by fair share,
-// at the measured speed.
-func (l *lane) wait(p Pending) time.Duration {
-	if l.queue.Len() == 0 && l.open() {
+// estimateWait returns how long a new call is expected to wait: the time that the tokens
+// ahead of it in fair-share order take at the measured rate.
+func (q *classQueue) estimateWait(p Pending) time.Duration {
+	if q.queue.Len() == 0 && q.hasRoom() {
 		return 0
 	}
-	return l.speed.Drain(l.queue.Ahead(p.Workspace, p.Weight, p.Class.Band))
+	return q.speed.Drain(q.queue.Ahead(p.Workspace, p.Weight, p.Class.Band))
 }
 
-// expiry is when a waiting call can no longer be answered in time.
+// expiry returns the latest time at which a queued call can start and still be expected to
+// meet its deadline.
 func (d *destination) expiry(p Pending) time.Time {
-	return p.Deadline.Add(-d.lane(p).speed.Margin(p.Class.Band, p.Deadline.Sub(p.Arrived)))
+	return p.Deadline.Add(-d.classQueue(p).speed.Margin(p.Class.Band, p.Deadline.Sub(p.Arrived)))
 }
 
-// check refuses a call whose wait is forecast to pass its deadline.
-func (d *destination) check(p Pending, now time.Time) error {
+// checkFeasible returns an error when a new call is not expected to meet its deadline:
+// fault.NoCapacity when no target can hold the destination or no replica can be ready in
+// time, otherwise fault.Overloaded.
+func (d *destination) checkFeasible(p Pending, now time.Time) error {
 	if !d.possible {
-		return noTarget(p.Destination)
+		return noTargetError(p.Destination)
 	}
 	start := now
 	kind := fault.Overloaded
-	if d.ready.After(now) {
-		start, kind = d.ready, fault.NoCapacity
+	if d.readyAt.After(now) {
+		start, kind = d.readyAt, fault.NoCapacity
 	}
 	if late := start.Sub(d.expiry(p)); late > 0 {
-		return fault.After(kind, max(late, leastRetry), "%s cannot answer in time", p.Destination)
+		return fault.After(kind, max(late, minRetryAfter), "%s cannot answer before the deadline", p.Destination)
 	}
-	if late := start.Add(d.lane(p).wait(p)).Sub(d.expiry(p)); late > 0 {
-		return fault.After(fault.Overloaded, max(late, leastRetry), "the wait for %s would pass the deadline", p.Destination)
+	if late := start.Add(d.classQueue(p).estimateWait(p)).Sub(d.expiry(p)); late > 0 {
+		return fault.After(fault.Overloaded, max(late, minRetryAfter), "the wait for %s would pass the deadline", p.Destination)
 	}
 	return nil
 }
 
-func noTarget(destination string) error {
+func noTargetError(destination string) error {
 	return fault.New(fault.NoCapacity, "no target can hold %s", destination)
 }
--- a/coord/request/leaving.go
+++ b/coord/request/leaving.go
@@ -2,26 +2,24 @@
 
 import "time"
 
-// Load pattern: entry hosts are restarted in turn while callers wait for rare models.
-//
-// Without this file a host that was told to stop ended all waits at once and sent their
-// callers elsewhere: to begin again at the end of another host's line, with one return
-// less, and often to the host that was stopped next. Of 40 calls for rare models on a day
-// of restarts 17 were refused so, each with most of its patience left.
-//
-// The rule: a host that stops lets calls wait as long as their answers can still end
-// before it does.
+// Load pattern: entry hosts are restarted in turn while callers wait for rarely used models.
+// Without it: a host that shuts down ends all waits; callers use up a retry to queue last at
+// another host, often the one restarted next. In one run of rolling restarts 17 of 40 calls
+// for rare models were refused like this, with most of their timeout left.
+// Rule: at shutdown, calls may wait as long as their answers can still end before the host.
 
 const (
-	// runsBeforeStop usual runs are left for an answer that begins when a wait ends: few
-	// streams are longer.
-	runsBeforeStop = 3
-	// leastBeforeStop is left in any case: the way to the target and the first token.
-	leastBeforeStop = 500 * time.Millisecond
+	// reservedRuns is the number of mean run times that are reserved for an answer that
+	// begins when a wait ends. Few streams take longer.
+	reservedRuns = 3
+	// minShutdownReserve is the least time that is reserved for an answer: it covers the
+	// request to the target and the first token.
+	minShutdownReserve = 500 * time.Millisecond
 )
 
-// WaitsBeforeStop returns for how long calls may wait for their model at a host that must
-// have answered all within left, where a run usually takes a time; 0: not known.
+// WaitsBeforeStop returns how long calls may wait for their model at a host that is shutting
+// down and must have completed all answers within left. Run is the mean time of a run, or 0
+// if it is not known.
 func WaitsBeforeStop(left, run time.Duration) time.Duration {
-	return max(0, left-max(leastBeforeStop, runsBeforeStop*run))
+	return max(0, left-max(minShutdownReserve, reservedRuns*run))
 }
--- a/coord/request/quarantine.go
+++ b/coord/request/quarantine.go
@@ -8,32 +8,32 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load pattern: one request crashes each target that runs it, and its caller sends it
-// again and again. The engines batch, so others run beside it when they crash.
-//
-// Without quarantine one caller takes down a target for each retry. With a rule that
-// blames all that ran, the neighbours are refused although they are innocent, and a
-// caller can have another's request refused by sending a bad one beside it.
-//
-// The rule: a crash strikes a request only when it ran alone. The requests of a
-// crashed batch are suspects: those that are repeatable run again, alone. One that
-// crashes its target alone is struck; MaxStrikes strikes refuse it. A request that is
-// not repeatable is never run again: its claim answers when its caller repeats it.
+// Load pattern: a request crashes every target that runs it, and its caller keeps retrying.
+// Without it: each retry takes down a target, with all requests in the same batch.
+// Rule: a crash is recorded as a strike only against a request that ran alone. Repeatable
+// requests of a crashed batch are run again, each alone on a target. A request with
+// MaxStrikes strikes is refused.
 
+// Strikes against the whole batch would refuse requests that caused no crash, and would let
+// a caller have the requests of others refused by sending a bad one at the same time. A
+// request that is not repeatable is never run again: when its caller retries it, the
+// answer comes from its claim.
 const (
-	// MaxStrikes is the number of strikes from which on a request is refused. The
-	// first can be a target that failed by itself; two by one request are not chance.
+	// MaxStrikes is the number of strikes at which a request is refused. After one crash
+	// the target may have failed by itself; two of the same request are no coincidence.
 	MaxStrikes = 2
-	// StrikeLife is how long strikes count: long enough to outlast a caller's
-	// retries, short enough that a mended engine serves the request again the same day.
+	// StrikeLife is how long a strike counts: longer than a caller's retries, and short
+	// enough that a repaired engine serves the request again the same day.
 	StrikeLife = time.Hour
 )
 
-// Fingerprint names the content of a request inside its workspace.
+// Fingerprint is a SHA-256 digest that identifies a request by its content, within its
+// workspace.
 type Fingerprint [sha256.Size]byte
 
-// FingerprintOf digests what decides how a target runs the request. Parts are framed
-// by their length, so that no two lists of parts give the same digest.
+// FingerprintOf returns the digest of everything that determines how a target runs the
+// request. Each part is prefixed with its length, so that different lists of parts cannot
+// produce the same input to the hash.
 func FingerprintOf(workspace, destination, path string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(workspace), []byte(destination), []byte(path), body} {
@@ -47,13 +47,14 @@
 	return f
 }
 
-// Strikes is what is recorded about one request.
+// Strikes holds the strikes recorded against one request.
 type Strikes struct {
 	Count   int
 	Expires time.Time
 }
 
-// CheckStrikes refuses a request with too many strikes: fault.Quarantined.
+// CheckStrikes returns a fault.Quarantined error for a request with MaxStrikes strikes or
+// more that have not expired.
 func CheckStrikes(s Strikes, now time.Time) error {
 	if s.Count < MaxStrikes || !now.Before(s.Expires) {
 		return nil
@@ -61,20 +62,20 @@
 	return fault.New(fault.Quarantined, "the request crashed its targets %d times; refused for %v", s.Count, s.Expires.Sub(now).Round(time.Second))
 }
 
-// Suspect reports whether a request with these strikes must run alone: it crashed a
-// target once, and its next crash must not take neighbours with it.
+// Suspect reports whether a request with these strikes must run alone on its target: it has
+// crashed one, and another crash must not affect other requests.
 func Suspect(s Strikes, now time.Time) bool {
 	return s.Count > 0 && now.Before(s.Expires)
 }
 
-// Crash says what follows for a request that ran when its target crashed.
-type Crash struct {
-	Strike bool // record a strike
-	Alone  bool // run it again, alone in its target
+// CrashOutcome is the decision about a request that was running when its target crashed.
+type CrashOutcome struct {
+	Strike     bool // record a strike against the request
+	RerunAlone bool // run the request again, alone on a target
 }
 
-// AfterCrash decides what follows for a request. Neighbours is the number of others
-// that ran with it.
-func AfterCrash(neighbours int, repeatable bool) Crash {
-	return Crash{Strike: neighbours == 0, Alone: repeatable}
+// AfterCrash decides about a request that was running when its target crashed. Neighbours is
+// the number of other requests that were running on the target.
+func AfterCrash(neighbours int, repeatable bool) CrashOutcome {
+	return CrashOutcome{Strike: neighbours == 0, RerunAlone: repeatable}
 }
--- a/coord/request/retry_test.go
+++ b/coord/request/retry_test.go
@@ -99,23 +99,23 @@
 
 	// A target that is back gets its whole share at once, with cold caches, and fails.
 	It("opens a circuit after failures in a row and closes it gradually", func() {
-		var c request.Circuit
+		var c request.CircuitBreaker
 		now := start
 		for range 4 {
-			c.Failure(now)
+			c.RecordFailure(now)
 		}
-		Expect(c.Share(now)).To(Equal(1.0))
-		c.Failure(now)
-		Expect(c.Share(now)).To(Equal(0.0))
+		Expect(c.TrafficShare(now)).To(Equal(1.0))
+		c.RecordFailure(now)
+		Expect(c.TrafficShare(now)).To(Equal(0.0))
 		now = now.Add(time.Second)
-		Expect(c.Share(now)).To(Equal(0.1))
-		c.Failure(now)
-		Expect(c.Share(now.Add(1900 * time.Millisecond))).To(Equal(0.0))
+		Expect(c.TrafficShare(now)).To(Equal(0.1))
+		c.RecordFailure(now)
+		Expect(c.TrafficShare(now.Add(1900 * time.Millisecond))).To(Equal(0.0))
 		now = now.Add(2 * time.Second)
 		shares := []float64{}
-		for c.Share(now) < 1 {
-			shares = append(shares, c.Share(now))
-			c.Success(now)
+		for c.TrafficShare(now) < 1 {
+			shares = append(shares, c.TrafficShare(now))
+			c.RecordSuccess(now)
 		}
 		Expect(len(shares)).To(BeNumerically("~", 9, 1))
 	})
@@ -142,7 +142,7 @@
 			crashes++
 			for _, f := range batch {
 				after := request.AfterCrash(len(batch)-1, true)
-				alone[f] = alone[f] || after.Alone
+				alone[f] = alone[f] || after.RerunAlone
 				if after.Strike {
 					strikes[f] = request.Strikes{Count: strikes[f].Count + 1, Expires: start.Add(request.StrikeLife)}
 				}
