--- a/coord/request/admission.go
+++ b/coord/request/admission.go
@@ -219,9 +219,9 @@
 	return Pending{}, false
 }
 
-// Again requeues a started call that was refused without having run; it returns
-// to its place in the order. The caller must have checked the retry budget. Error: fault.Overloaded when
-// the call can no longer meet its deadline; it is then no longer held.
+// Again requeues a started call that was refused without having run; it returns to its
+// place in the order. The caller must have checked the retry budget. Error:
+// fault.Overloaded when the call can no longer meet its deadline; it is then removed.
 func (a *Admission) Again(id string, now time.Time) error {
 	p, known := a.running[id]
 	if !known {
--- a/coord/request/admission_test.go
+++ b/coord/request/admission_test.go
@@ -14,7 +14,7 @@
 	"cowsliptiller/coord/request"
 )
 
-func pending(n int, ws string, now time.Time) request.Pending {
+func newPending(n int, ws string, now time.Time) request.Pending {
 	return request.Pending{
 		ID: fmt.Sprint(n), Workspace: ws, KeyID: "key-" + ws, Destination: dest, Class: interactive,
 		Weight: 1000, Tokens: 100, Bytes: 10, Arrived: now, Deadline: now.Add(interactive.Deadline),
@@ -22,31 +22,32 @@
 }
 
 var _ = Describe("admission at an entry host", func() {
-	// Every caller of a host is refused because one workspace has filled it.
-	It("leaves room for a newcomer when one workspace fills the host", func() {
+	// Without a limit per workspace, one workspace fills the host, and the callers of all
+	// others are refused.
+	It("leaves room for a new workspace when one workspace fills the host", func() {
 		a := request.NewAdmission(request.Bounds{Calls: 100, Bytes: 10_000})
 		refused := 0
 		for n := range 200 {
-			if err := a.Arrive(pending(n, "large", start), start); err != nil {
+			if err := a.Arrive(newPending(n, "large", start), start); err != nil {
 				Expect(fault.From(err).RetryAfter).To(BeNumerically(">", 0))
 				refused++
 			}
 		}
 		Expect(refused).To(Equal(150))
 		for n := range 20 {
-			Expect(a.Arrive(pending(1000+n, "small", start), start)).To(Succeed())
+			Expect(a.Arrive(newPending(1000+n, "small", start), start)).To(Succeed())
 		}
-		big := pending(2000, "other", start)
+		big := newPending(2000, "other", start)
 		big.Bytes = 9_500
 		Expect(fault.Is(a.Arrive(big, start), fault.Overloaded)).To(BeTrue())
 	})
 
-	// A call starts seconds after its key was withdrawn, because it waited in a queue.
+	// Guards against starting a call that was queued before its key was withdrawn.
 	It("starts nothing of a withdrawn key", func() {
 		a := request.NewAdmission(request.Bounds{Calls: 100, Bytes: 10_000})
 		a.Forecast(dest, true, start.Add(time.Second), start)
-		Expect(a.Arrive(pending(1, "a", start), start)).To(Succeed())
-		Expect(a.Arrive(pending(2, "b", start), start)).To(Succeed())
+		Expect(a.Arrive(newPending(1, "a", start), start)).To(Succeed())
+		Expect(a.Arrive(newPending(2, "b", start), start)).To(Succeed())
 		refusals := a.Withdraw("key-a")
 		Expect(refusals).To(HaveLen(1))
 		Expect(fault.Is(refusals[0].Err, fault.Unauthenticated)).To(BeTrue())
@@ -56,22 +57,22 @@
 		Expect(next.ID).To(Equal("2"))
 	})
 
-	// A destination that was slow once is refused for ever: its calls are no longer
-	// let in, so nothing measures that it is fast again.
-	It("does not lock a destination out after a slow spell", func() {
+	// Guards against refusing a destination permanently after slow runs: without admitted
+	// calls there is no new measurement of its service time.
+	It("still admits calls to a destination after slow runs", func() {
 		a := request.NewAdmission(request.Bounds{Calls: 100, Bytes: 10_000})
 		for n := range 20 {
-			Expect(a.Arrive(pending(n, "a", start), start)).To(Succeed())
+			Expect(a.Arrive(newPending(n, "a", start), start)).To(Succeed())
 			next, ok := a.Next(dest, start)
 			Expect(ok).To(BeTrue())
 			a.Done(next.ID, 50, 20*time.Second, start)
 		}
-		Expect(a.Arrive(pending(99, "a", start), start)).To(Succeed())
+		Expect(a.Arrive(newPending(99, "a", start), start)).To(Succeed())
 		_, ok := a.Next(dest, start)
 		Expect(ok).To(BeTrue())
 	})
 
-	It("keeps each call in one place and its sums right", func() {
+	It("holds each call exactly once, with correct totals", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			a := request.NewAdmission(request.Bounds{Calls: 12, Bytes: 200})
 			now := start
@@ -80,7 +81,7 @@
 			drop := func(refusals []request.Refusal) {
 				for _, r := range refusals {
 					if _, known := waiting[r.ID]; !known || r.Err == nil {
-						t.Fatalf("refusal %v of a call that does not wait", r)
+						t.Fatalf("refusal %v of a call that is not queued", r)
 					}
 					delete(waiting, r.ID)
 				}
@@ -97,7 +98,7 @@
 			t.Repeat(map[string]func(*rapid.T){
 				"arrive": func(t *rapid.T) {
 					n++
-					p := pending(n, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "ws"), now)
+					p := newPending(n, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "ws"), now)
 					p.Class.Band = fair.Band(rapid.IntRange(0, 2).Draw(t, "band"))
 					p.Bytes = rapid.Int64Range(0, 60).Draw(t, "bytes")
 					if a.Arrive(p, now) == nil {
@@ -110,7 +111,7 @@
 						return
 					}
 					if _, known := waiting[p.ID]; !known {
-						t.Fatalf("started %s, which did not wait", p.ID)
+						t.Fatalf("started %s, which was not queued", p.ID)
 					}
 					delete(waiting, p.ID)
 					running[p.ID] = p
@@ -131,7 +132,7 @@
 				"cancel": func(t *rapid.T) {
 					id := anyOf(t, waiting)
 					if !a.Cancel(id) {
-						t.Fatalf("%s does not wait", id)
+						t.Fatalf("%s is not queued", id)
 					}
 					delete(waiting, id)
 				},
@@ -140,7 +141,7 @@
 					drop(a.Expire(now))
 					for id, p := range waiting {
 						if !now.Before(p.Deadline) {
-							t.Fatalf("%s waits past its deadline", id)
+							t.Fatalf("%s is still queued after its deadline", id)
 						}
 					}
 				},
@@ -171,9 +172,9 @@
 			a := request.NewAdmission(request.Bounds{Calls: 1 << 20, Bytes: 1 << 40})
 			now := start
 			for n := range waiting {
-				_ = a.Arrive(pending(n, fmt.Sprint("w", n%5), now), now)
+				_ = a.Arrive(newPending(n, fmt.Sprint("w", n%5), now), now)
 			}
-			p := pending(0, "w1", now)
+			p := newPending(0, "w1", now)
 			ids := make([]string, 1<<14)
 			for i := range ids {
 				ids[i] = fmt.Sprint("id", i)
--- a/coord/request/attempt_test.go
+++ b/coord/request/attempt_test.go
@@ -13,11 +13,11 @@
 	"cowsliptiller/coord/request"
 )
 
-var _ = Describe("what is said of a call's run", func() {
-	// A printer is told "not run" and orders again, and two trucks come: the first
-	// attempt had been handed over and its answer was lost.
-	It("never says not run of a call that was handed over without proof", func() {
-		c := request.NewCall("c", "w", order, start.Add(time.Second))
+var _ = Describe("whether a call ran", func() {
+	// Guards against a duplicate order: an attempt is handed over, its answer is lost, and the
+	// caller places the order again because it is told "not run".
+	It("never reports a call as not run after hand-over without proof", func() {
+		c := request.NewCall("c", "w", nonRepeatable, start.Add(time.Second))
 		a, err := c.Begin("a1", "t1", start)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.HandOver(a, start)).To(BeTrue())
@@ -32,9 +32,9 @@
 		Expect(final.Repeatable).To(BeFalse())
 	})
 
-	// Two trucks: two attempts are begun before either is sent, and both go out.
+	// Guards against a duplicate order: two attempts are begun before either is sent.
 	It("hands over only one attempt of a call that may not be repeated", func() {
-		c := request.NewCall("c", "w", order, start.Add(time.Second))
+		c := request.NewCall("c", "w", nonRepeatable, start.Add(time.Second))
 		a, _ := c.Begin("a1", "t1", start)
 		b, err := c.Begin("a2", "t2", start)
 		Expect(err).NotTo(HaveOccurred())
@@ -42,8 +42,8 @@
 		Expect(c.HandOver(b, start)).To(BeFalse())
 	})
 
-	// One answer, whole, to its own call: a late reply of an abandoned attempt comes
-	// after the final answer.
+	// Guards against a second answer: the reply to an abandoned attempt arrives after the
+	// final answer.
 	It("drops what comes after the final answer", func() {
 		c := request.NewCall("c", "w", interactive, start.Add(time.Second))
 		a, _ := c.Begin("a1", "t1", start)
@@ -58,7 +58,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("says not run only when no attempt can have reached a target", func() {
+	It("reports not run only when no attempt can have reached a target", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			class := interactive
 			class.Repeatable = rapid.Bool().Draw(t, "repeatable")
@@ -66,7 +66,7 @@
 			now := start
 			n, answers, handed := 0, 0, 0
 			var attempts []*request.Attempt
-			reached := map[*request.Attempt]bool{} // what a target really got
+			reached := map[*request.Attempt]bool{} // attempts that reached a target
 			pick := func(t *rapid.T) *request.Attempt {
 				if len(attempts) == 0 {
 					t.Skip()
@@ -78,7 +78,7 @@
 			}
 			check := func(t *rapid.T, e *fault.Error) {
 				if e != nil && e.Ran == fault.RanNo && len(reached) > 0 {
-					t.Fatalf("%v says not run, a target was reached", e)
+					t.Fatalf("%v reports not run, but a target was reached", e)
 				}
 			}
 			t.Repeat(map[string]func(*rapid.T){
@@ -99,9 +99,9 @@
 					a := pick(t)
 					if a.State() == request.HandedOver {
 						e := c.Fail(a, fault.New(fault.Overloaded, "x"), true)
-						delete(reached, a) // the agent is right: its target got nothing
+						delete(reached, a) // the agent's proof is correct
 						if e.Ran != fault.RanNo {
-							t.Fatalf("%v in spite of proof", e)
+							t.Fatalf("%v despite proof that it did not run", e)
 						}
 					}
 				},
@@ -131,7 +131,7 @@
 		})
 	})
 
-	It("takes the sooner of the class's and the caller's deadline", func() {
+	It("uses the earlier of the class deadline and the caller's deadline", func() {
 		at, err := interactive.DeadlineOf(start, time.Second)
 		Expect(at, err).To(Equal(start.Add(time.Second)))
 		at, err = interactive.DeadlineOf(start, time.Hour)
--- a/coord/request/backlog.go
+++ b/coord/request/backlog.go
@@ -77,16 +77,16 @@
 )
 
 // WorthWaiting reports whether a request should join a queue with the estimated wait. Spent
-// is the time since its arrival, latency the target latency of its route, and patience the
+// is the time since its arrival, latency the target latency of its route, and timeout the
 // time after which its caller gives up.
-func WorthWaiting(wait, spent, latency, patience time.Duration) bool {
+func WorthWaiting(wait, spent, latency, timeout time.Duration) bool {
 	if wait <= 0 {
 		return true
 	}
 	if limit := time.Duration(queueLatencyShare * float64(latency)); spent < limit {
 		return wait <= limit-spent
 	}
-	return wait <= time.Duration(lateWaitShare*float64(patience))
+	return wait <= time.Duration(lateWaitShare*float64(timeout))
 }
 
 // ComeBack returns the time after which a caller that was refused because of a queue may
--- a/coord/request/backlog_test.go
+++ b/coord/request/backlog_test.go
@@ -10,17 +10,17 @@
 	"cowsliptiller/coord/request"
 )
 
-var _ = Describe("the backlog of a target", func() {
-	const latency, patience = 300 * time.Millisecond, 2400 * time.Millisecond
+var _ = Describe("estimated queueing delay at a target", func() {
+	const latency, timeout = 300 * time.Millisecond, 2400 * time.Millisecond
 
-	It("expects no wait where there is room, nor before runs are known", func() {
+	It("is zero while a slot is free and before a run is recorded", func() {
 		b := request.NewBacklog()
 		Expect(b.Wait("t", "s", 8, 5, 8)).To(BeZero())
 		b.Ran("s", 2*time.Second)
 		Expect(b.Wait("t", "s", 3, 0, 8)).To(BeZero())
 	})
 
-	It("expects a wait for those before it, with those that no report shows yet", func() {
+	It("counts the queued requests and those sent since the latest report", func() {
 		b := request.NewBacklog()
 		b.Ran("s", 2*time.Second)
 		Expect(b.Wait("t", "s", 8, 4, 8)).To(Equal(time.Second))
@@ -32,16 +32,16 @@
 		Expect(b.Wait("t", "s", 8, 4, 8)).To(Equal(time.Second))
 	})
 
-	// One target holds a model that forty requests a second ask for; it runs eight at
-	// once, a fifth of a second each, that is as many as come. Then twice as many come
-	// for ten seconds. Each that joins the queue waits as long as all before it.
-	It("keeps those that are let in within the target latency, and no slot idle, at twice the load", func() {
+	// One target with 8 slots and runs of 200 ms has a capacity of 40 requests per second and
+	// gets 80 per second for 10 s. If all of them join the queue, the wait grows with each
+	// request until every answer is late.
+	It("keeps queued requests within the target latency, and no slot idle, at twice the load", func() {
 		const slots = 8
 		b := request.NewBacklog()
 		b.Ran("s", 200*time.Millisecond)
 		served, inTime := 0, 0
-		var free [slots]time.Duration // when each slot is free again
-		var begins []time.Duration    // of those that wait
+		var free [slots]time.Duration // when each slot is free
+		var begins []time.Duration    // start times of the queued requests
 		work := time.Duration(0)
 		for i := range 800 {
 			now := time.Duration(i) * 12500 * time.Microsecond
@@ -53,7 +53,7 @@
 				}
 			}
 			b.Reported()
-			if !request.WorthWaiting(b.Wait("t", "s", running, len(begins), slots), 0, latency, patience) {
+			if !request.WorthWaiting(b.Wait("t", "s", running, len(begins), slots), 0, latency, timeout) {
 				continue
 			}
 			slot := 0
@@ -72,17 +72,17 @@
 			}
 		}
 		Expect(float64(inTime)).To(BeNumerically(">=", 0.95*float64(served)))
-		Expect(work).To(BeNumerically(">=", 95*slots*10*time.Second/100), "slots at work")
+		Expect(work).To(BeNumerically(">=", 95*slots*10*time.Second/100), "slot utilization")
 	})
 
-	It("lets a request wait longer that is late in any case, but not past its caller's patience", func() {
-		Expect(request.WorthWaiting(200*time.Millisecond, 0, latency, patience)).To(BeTrue())
-		Expect(request.WorthWaiting(600*time.Millisecond, 0, latency, patience)).To(BeFalse())
-		Expect(request.WorthWaiting(600*time.Millisecond, time.Second, latency, patience)).To(BeTrue())
-		Expect(request.WorthWaiting(2*time.Second, time.Second, latency, patience)).To(BeFalse())
+	It("lets a request that is already late wait longer, but not past its caller's timeout", func() {
+		Expect(request.WorthWaiting(200*time.Millisecond, 0, latency, timeout)).To(BeTrue())
+		Expect(request.WorthWaiting(600*time.Millisecond, 0, latency, timeout)).To(BeFalse())
+		Expect(request.WorthWaiting(600*time.Millisecond, time.Second, latency, timeout)).To(BeTrue())
+		Expect(request.WorthWaiting(2*time.Second, time.Second, latency, timeout)).To(BeFalse())
 	})
 
-	It("tells a refused caller to come back when the queue is worked off, within bounds", func() {
+	It("returns the estimated wait as the time to retry after, within bounds", func() {
 		Expect(request.ComeBack(time.Millisecond)).To(Equal(250 * time.Millisecond))
 		Expect(request.ComeBack(700 * time.Millisecond)).To(Equal(700 * time.Millisecond))
 		Expect(request.ComeBack(time.Minute)).To(Equal(2 * time.Second))
--- a/coord/request/budget.go
+++ b/coord/request/budget.go
@@ -47,11 +47,11 @@
 	b.requeueTokens = min(requeueReserve, b.requeueTokens+requeueRatio)
 }
 
-func takeToken(budget *float64) bool {
-	if *budget < 1 {
+func takeToken(tokens *float64) bool {
+	if *tokens < 1 {
 		return false
 	}
-	*budget--
+	*tokens--
 	return true
 }
 
@@ -101,8 +101,8 @@
 // backoff returns an exponential backoff with full jitter, so that calls that failed at one
 // time do not return at one time.
 func backoff(attempts int, r *rand.Rand) time.Duration {
-	most := min(maxBackoff, initialBackoff<<min(attempts, 16))
-	return time.Duration(r.Int63n(int64(most)) + 1)
+	limit := min(maxBackoff, initialBackoff<<min(attempts, 16))
+	return time.Duration(r.Int63n(int64(limit)) + 1)
 }
 
 // Hedge decides whether to start a second attempt while the first has not answered. Only a
--- a/coord/request/circuit.go
+++ b/coord/request/circuit.go
@@ -9,8 +9,8 @@
 // then the target's share of calls grows by a tenth with each success.
 
 const (
-	// failureThreshold is the number of consecutive failures that opens the circuit. One
-	// bad request, with its retries, does not reach it.
+	// failureThreshold is the number of consecutive failures that opens the circuit. A
+	// single bad request cannot reach it.
 	failureThreshold = 5
 	minOpenTime      = time.Second
 	maxOpenTime      = 30 * time.Second
--- a/coord/request/fleetbudget.go
+++ b/coord/request/fleetbudget.go
@@ -8,7 +8,7 @@
 // Rule: in any window, the fleet's retries are at most a share of its requests plus a
 // reserve. Each host applies the share to its own requests and takes its part of the reserve.
 
-// Splitting the bound like this needs no coordination between hosts.
+// The platform sets the bound. Splitting it like this needs no coordination between hosts.
 const (
 	// windowSlots is the number of slots of the sliding window.
 	windowSlots = 20
--- a/coord/request/fleetbudget_test.go
+++ b/coord/request/fleetbudget_test.go
@@ -9,14 +9,15 @@
 	"cowsliptiller/coord/request"
 )
 
-var _ = Describe("the fleet's budget of repeats", func() {
+var _ = Describe("the fleet-wide retry budget", func() {
 	start := time.Unix(1000, 0)
 
-	// Targets of a service fail for a minute. Eight hosts each repeat what they can;
-	// together they must stay within the share and the reserve in every window.
+	// The targets of a service fail for a minute, and each of eight hosts retries as much as
+	// its budget allows. The retries of all hosts must not exceed the share plus the reserve
+	// in any window.
 	It("holds over all hosts and in every window", func() {
 		const hosts, window = 8, 10 * time.Second
-		var repeats, requests []time.Time
+		var retries, requests []time.Time
 		budgets := make([]*request.FleetBudget, hosts)
 		for i := range budgets {
 			budgets[i] = &request.FleetBudget{Ratio: 0.2, Reserve: 60, Window: window}
@@ -27,7 +28,7 @@
 			b.Request(at)
 			requests = append(requests, at)
 			for b.Repeat(hosts, at) {
-				repeats = append(repeats, at)
+				retries = append(retries, at)
 			}
 		}
 		within := func(list []time.Time, from time.Time) (n int) {
@@ -40,12 +41,12 @@
 		}
 		for s := range 50 {
 			from := start.Add(time.Duration(s) * time.Second)
-			Expect(float64(within(repeats, from))).To(BeNumerically("<=", 0.2*float64(within(requests, from))+60))
+			Expect(float64(within(retries, from))).To(BeNumerically("<=", 0.2*float64(within(requests, from))+60))
 		}
-		Expect(within(repeats, start.Add(20*time.Second))).To(BeNumerically(">", 100))
+		Expect(within(retries, start.Add(20*time.Second))).To(BeNumerically(">", 100))
 	})
 
-	It("allows a repeat again once the window has moved on", func() {
+	It("allows a retry again after the window has passed", func() {
 		b := &request.FleetBudget{Ratio: 0.2, Reserve: 10, Window: 10 * time.Second}
 		for b.Repeat(1, start) {
 		}
--- a/coord/request/lane.go
+++ b/coord/request/lane.go
@@ -7,15 +7,15 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load pattern: all targets of a destination are at capacity and each entry host has more calls.
+// Load pattern: all targets of a destination are at capacity, and entry hosts have more calls.
 // Without it: hosts send everything to the agents, which refuse it, and the retries add load.
 // Rule: a window limits the calls in flight, per class and with additive increase and
 // multiplicative decrease: plus one per full window of answers, minus a fifth after a
 // refusal for overload, at most once per mean service time.
 //
 // Each class has its own window, so that agents see calls of all classes and order them.
-// With one window, long must-finish calls filled it, and short interactive calls waited at
-// the entry host, where no agent could prioritize them. Adjusting the window by the queue
+// With one window, long must-finish calls fill it, and short interactive calls wait at the
+// entry host, where no agent can prioritize them. Adjusting the window by the queue
 // lengths that come with answers, before agents refuse, was tried and served fewer calls: a
 // target's queue holds the requests of all its models, so each model backed off because
 // of the others (docs/design/admission.md).
--- a/coord/request/outage_test.go
+++ b/coord/request/outage_test.go
@@ -9,32 +9,33 @@
 	"cowsliptiller/coord/request"
 )
 
-// All processes lose power while sixty callers a second come, and hosts know what they
-// need 1.2 s after their start. Callers are told at once to come back in a second, do so
-// once, and meet a host that still knows nothing. Each caller below has one return.
-func TestCallersOutlastAStartOfTheFleet(t *testing.T) {
+// All processes restart while about 60 calls per second arrive, and hosts have the state that
+// they need 1.2 s later. Guards against refusing these calls at once: a caller that retries
+// once after a second meets a host that still lacks this state.
+func TestCallsWaitForAFleetStart(t *testing.T) {
 	g := NewWithT(t)
-	const known, patience, interval = 1200 * time.Millisecond, 5 * time.Second, 16 * time.Millisecond
+	const recovered, timeout, interval = 1200 * time.Millisecond, 5 * time.Second, 16 * time.Millisecond
 	served, total := 0, 0
-	for came := time.Duration(0); came < known; came += interval {
+	for arrived := time.Duration(0); arrived < recovered; arrived += interval {
 		total++
-		if came+request.WaitOut(came, 0, patience) >= known {
+		if arrived+request.WaitOut(arrived, 0, timeout) >= recovered {
 			served++
 		}
 	}
 	g.Expect(served).To(Equal(total))
 }
 
-func TestOutagesAreNotWaitedForInVain(t *testing.T) {
+func TestCallsDoNotWaitForLongOutages(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(request.WaitOut(5*time.Second, 0, time.Minute)).To(BeZero(), "the host is cut off: others can do better")
-	g.Expect(request.WaitOut(0, 0, time.Second)).To(BeNumerically("<", time.Second), "some of its time is left for the answer")
+	g.Expect(request.WaitOut(5*time.Second, 0, time.Minute)).To(BeZero(), "the host is partitioned: other hosts can serve the call")
+	g.Expect(request.WaitOut(0, 0, time.Second)).To(BeNumerically("<", time.Second), "part of the timeout is left for the answer")
 	g.Expect(request.WaitOut(0, 900*time.Millisecond, time.Second)).To(BeZero())
 }
 
 // Seven hosts are restarted in turn, two seconds apart, while callers wait for models that
-// take one to four seconds. All that can be answered within a host's grace are.
-func TestCallersAreNotSentAwayByAHostThatCanStillAnswerThem(t *testing.T) {
+// take one to four seconds to load. Guards against a host that refuses calls at shutdown
+// although it can answer them within its grace period.
+func TestCallsWaitAtShutdownWhileTheyCanBeAnswered(t *testing.T) {
 	g := NewWithT(t)
 	const left, run = 7 * time.Second, 300 * time.Millisecond
 	g.Expect(request.WaitsBeforeStop(left, run)).To(BeNumerically(">=", 4*time.Second))
--- a/coord/request/quarantine.go
+++ b/coord/request/quarantine.go
@@ -74,8 +74,8 @@
 	RerunAlone bool // run the request again, alone on a target
 }
 
-// AfterCrash decides about a request that was running when its target crashed. Neighbours is
-// the number of other requests that were running on the target.
-func AfterCrash(neighbours int, repeatable bool) CrashOutcome {
-	return CrashOutcome{Strike: neighbours == 0, RerunAlone: repeatable}
+// AfterCrash decides about a request that was running when its target crashed. Others is
+// the number of other requests that were running on the same target.
+func AfterCrash(others int, repeatable bool) CrashOutcome {
+	return CrashOutcome{Strike: others == 0, RerunAlone: repeatable}
 }
--- a/coord/request/request_test.go
+++ b/coord/request/request_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// init gives rapid a fixed seed, so that each run has the same verdict; the flags of
-// the command line win.
+// init sets a fixed seed for rapid, so that results are reproducible. Flags on the command
+// line take precedence.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -21,5 +21,5 @@
 	RunSpecs(t, "request")
 }
 
-// start is the beginning of virtual time.
+// start is the start of simulated time.
 var start = time.Unix(1_700_000_000, 0)
--- a/coord/request/retry_test.go
+++ b/coord/request/retry_test.go
@@ -12,8 +12,9 @@
 	"cowsliptiller/coord/request"
 )
 
-// failed returns a call whose first attempt failed with an error of a kind.
-func failed(class request.Class, kind fault.Kind, proof bool) (*request.Call, *fault.Error) {
+// newFailedCall returns a call whose first attempt failed with an error of the kind, and that
+// error.
+func newFailedCall(class request.Class, kind fault.Kind, proof bool) (*request.Call, *fault.Error) {
 	c := request.NewCall("c", "w", class, start.Add(class.Deadline))
 	a, _ := c.Begin("a1", "t1", start)
 	c.HandOver(a, start)
@@ -21,14 +22,14 @@
 }
 
 var _ = Describe("retries", func() {
-	// A short fault of all targets becomes a lasting one: each call is sent again and
-	// again, and the targets that come back meet several times the usual load.
+	// Guards against a retry storm: a short failure of all targets lasts because retries
+	// multiply the load on the targets that recover.
 	It("keeps retries to a tenth of successes when everything fails", func() {
 		r := rand.New(rand.NewSource(1))
 		b := request.NewRetryBudget()
 		retries := func(calls int, down bool) (n int) {
 			for range calls {
-				c, e := failed(interactive, fault.TargetFailed, false)
+				c, e := newFailedCall(interactive, fault.TargetFailed, false)
 				for at := start; ; {
 					pause, again := b.Retry(c, e, at, r)
 					if !again {
@@ -46,32 +47,32 @@
 			}
 			return n
 		}
-		Expect(retries(10_000, true)).To(Equal(10), "the reserve, then none")
+		Expect(retries(10_000, true)).To(Equal(10), "only the reserve")
 		up := retries(10_000, false)
 		Expect(up).To(BeNumerically("~", 1000, 10))
 	})
 
-	// Two trucks: a confirmation is sent again after its answer was lost.
-	It("never repeats a call that may not be repeated after hand-over", func() {
+	// Guards against a duplicate order: a confirmation is retried after its answer was lost.
+	It("never retries a non-repeatable call after hand-over", func() {
 		r := rand.New(rand.NewSource(1))
 		for _, k := range fault.Kinds() {
-			c, e := failed(order, k, false)
+			c, e := newFailedCall(nonRepeatable, k, false)
 			_, again := request.NewRetryBudget().Retry(c, e, start, r)
 			Expect(again).To(BeFalse(), string(k))
 		}
-		c, e := failed(order, fault.Leaving, true)
+		c, e := newFailedCall(nonRepeatable, fault.Leaving, true)
 		_, again := request.NewRetryBudget().Retry(c, e, start, r)
 		Expect(again).To(BeTrue(), "proven not run")
 	})
 
-	It("goes on at once after a refusal that corrects the view, with pauses else, never past the deadline", func() {
+	It("retries at once after a stale-view refusal, otherwise with a pause, and never past the deadline", func() {
 		r := rand.New(rand.NewSource(1))
 		b := request.NewRetryBudget()
-		c, e := failed(interactive, fault.NotHere, true)
+		c, e := newFailedCall(interactive, fault.NotHere, true)
 		pause, again := b.Retry(c, e, start, r)
 		Expect(pause).To(BeZero())
 		Expect(again).To(BeTrue())
-		c, e = failed(interactive, fault.Overloaded, true)
+		c, e = newFailedCall(interactive, fault.Overloaded, true)
 		e.RetryAfter = 100 * time.Millisecond
 		pause, again = b.Retry(c, e, start, r)
 		Expect(again).To(BeTrue())
@@ -80,7 +81,7 @@
 		Expect(again).To(BeFalse())
 	})
 
-	It("hedges only a repeatable interactive call, once, inside the budget", func() {
+	It("hedges only a repeatable interactive call, once, within the budget", func() {
 		b := request.NewRetryBudget()
 		call := func(class request.Class) *request.Call {
 			c := request.NewCall("c", "w", class, start.Add(time.Second))
@@ -89,7 +90,7 @@
 			return c
 		}
 		Expect(b.Hedge(call(interactive), 90*time.Millisecond, 100*time.Millisecond)).To(BeFalse(), "too early")
-		Expect(b.Hedge(call(order), time.Second, 100*time.Millisecond)).To(BeFalse())
+		Expect(b.Hedge(call(nonRepeatable), time.Second, 100*time.Millisecond)).To(BeFalse())
 		Expect(b.Hedge(call(mustFinish), time.Second, 100*time.Millisecond)).To(BeFalse())
 		for range 10 {
 			Expect(b.Hedge(call(interactive), time.Second, 100*time.Millisecond)).To(BeTrue())
@@ -97,8 +98,9 @@
 		Expect(b.Hedge(call(interactive), time.Second, 100*time.Millisecond)).To(BeFalse(), "no budget")
 	})
 
-	// A target that is back gets its whole share at once, with cold caches, and fails.
-	It("opens a circuit after failures in a row and closes it gradually", func() {
+	// Guards against sending a recovered target its full share at once, with cold caches, so
+	// that it fails again.
+	It("opens a circuit after consecutive failures and closes it gradually", func() {
 		var c request.CircuitBreaker
 		now := start
 		for range 4 {
@@ -122,9 +124,9 @@
 })
 
 var _ = Describe("a request that crashes its targets", func() {
-	// One request crashes each target that runs it and its caller sends it again. The
-	// batch that it crashed first must be served, and no more than three targets be lost.
-	It("is found by running the suspects alone, and refused after the second strike", func() {
+	// A request crashes each target that runs it, and its caller retries it. The requests of
+	// the first crashed batch must still be served, and at most three targets may crash.
+	It("is identified by rerunning the batch one at a time, and refused after the second strike", func() {
 		bad := request.FingerprintOf("w", "m", "/v1/completions", []byte("bad"))
 		good := request.FingerprintOf("w", "m", "/v1/completions", []byte("good"))
 		strikes := map[request.Fingerprint]request.Strikes{}
@@ -164,10 +166,10 @@
 		Expect(request.Suspect(request.Strikes{Count: 1, Expires: start.Add(time.Hour)}, start)).To(BeTrue())
 		err := request.CheckStrikes(strikes[bad], start)
 		Expect(fault.Is(err, fault.Quarantined)).To(BeTrue())
-		Expect(request.CheckStrikes(strikes[bad], start.Add(request.StrikeLife))).To(Succeed(), "the record ends")
+		Expect(request.CheckStrikes(strikes[bad], start.Add(request.StrikeLife))).To(Succeed(), "strikes have expired")
 	})
 
-	It("is known by its content inside its workspace", func() {
+	It("is identified by its content within its workspace", func() {
 		f := request.FingerprintOf("w", "m", "p", []byte("x"))
 		Expect(request.FingerprintOf("w", "m", "p", []byte("x"))).To(Equal(f))
 		Expect(request.FingerprintOf("v", "m", "p", []byte("x"))).NotTo(Equal(f))
