--- a/coord/routing/affinity.go
+++ b/coord/routing/affinity.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// affinity remembers where a prefix or an adapter ran last.
+// affinity records the target that last ran a prefix or an adapter.
 //
-// Pattern of load: a session's requests share a prompt prefix, and engines keep
-// prefixes in limited memory; an adapter is loaded where it was used. Sent
-// elsewhere, the prefix is computed and the adapter loaded again. The engines'
-// cache events come late and with gaps, so the host's own last choice is the
-// better witness. It is a hint: it counts only while the target has room.
+// Load pattern: requests of a session share a prompt prefix; engines cache prefixes in
+// limited memory and keep an adapter loaded where it was used.
+// Without it: the prefix is computed and the adapter loaded again on another target.
+// Rule: send the request to the target this host chose last while that has room. The
+// engines' own cache events are late and incomplete, so they are not used.
 type affinity struct {
-	limit   int
-	life    time.Duration
-	places  map[affinityKey]place
-	recent  []affinityKey // ring of keys in order of insertion
-	nextOut int
+	limit     int
+	ttl       time.Duration
+	entries   map[affinityKey]affinityEntry
+	ring      []affinityKey // keys in order of insertion
+	nextEvict int
 }
 
 type affinityKey struct {
@@ -25,16 +25,17 @@
 	hash uint64
 }
 
-type place struct {
-	target string
-	at     time.Time
+type affinityEntry struct {
+	target     string
+	recordedAt time.Time
 }
 
-func newAffinity(limit int, life time.Duration) affinity {
-	return affinity{limit: limit, life: life, places: map[affinityKey]place{}}
+func newAffinity(limit int, ttl time.Duration) affinity {
+	return affinity{limit: limit, ttl: ttl, entries: map[affinityKey]affinityEntry{}}
 }
 
-// keyOf returns the key of a request: its prefix, or else its adapter.
+// keyOf returns the affinity key of a request: its prefix, or else its adapter. It
+// returns false if the request has neither.
 func keyOf(q Request) (affinityKey, bool) {
 	switch {
 	case q.Prefix != 0:
@@ -47,35 +48,39 @@
 	return affinityKey{}, false
 }
 
-func (a *affinity) find(q Request, now time.Time) string {
+// lookup returns the target recorded for the request's key, or "" if there is none or it
+// is older than the TTL.
+func (a *affinity) lookup(q Request, now time.Time) string {
 	key, ok := keyOf(q)
 	if !ok {
 		return ""
 	}
-	p, ok := a.places[key]
-	if !ok || now.Sub(p.at) > a.life {
+	p, ok := a.entries[key]
+	if !ok || now.Sub(p.recordedAt) > a.ttl {
 		return ""
 	}
 	return p.target
 }
 
-func (a *affinity) note(q Request, target string, now time.Time) {
+// record stores the target that the request was sent to.
+func (a *affinity) record(q Request, target string, now time.Time) {
 	key, ok := keyOf(q)
 	if !ok || a.limit == 0 {
 		return
 	}
-	if _, known := a.places[key]; !known {
+	if _, known := a.entries[key]; !known {
 		a.insert(key)
 	}
-	a.places[key] = place{target, now}
+	a.entries[key] = affinityEntry{target, now}
 }
 
+// insert adds a new key to the ring. A full ring evicts the key inserted first.
 func (a *affinity) insert(key affinityKey) {
-	if len(a.recent) < a.limit {
-		a.recent = append(a.recent, key)
+	if len(a.ring) < a.limit {
+		a.ring = append(a.ring, key)
 		return
 	}
-	delete(a.places, a.recent[a.nextOut])
-	a.recent[a.nextOut] = key
-	a.nextOut = (a.nextOut + 1) % a.limit
+	delete(a.entries, a.ring[a.nextEvict])
+	a.ring[a.nextEvict] = key
+	a.nextEvict = (a.nextEvict + 1) % a.limit
 }
--- a/coord/routing/correction.go
+++ b/coord/routing/correction.go
@@ -2,22 +2,20 @@
 
 import "time"
 
-// Corrections. Pattern of load: the view lags by up to seconds; a model that
-// moved gets a burst of requests at its old place. Without a correction each of
-// them pays a refusal, until control's view arrives. The agent that refuses
-// knows the truth about its target, so its refusal carries it: the idea is taken
-// from the related paper on distributed directories, whose servers correct a
-// client's stale map in the refusal itself. A wrong correction is harmless: the
-// agent refuses again, or the view replaces it.
+// Load pattern: requests for a moved model go to its old target while the view is stale.
+// Without it: each of them is refused once, for up to seconds, until the new view arrives.
+// Rule: take the target's residency from the refusal, since the agent has the current
+// state; related work on distributed directories corrects a client's stale map like this.
+// A wrong correction does no harm: the agent refuses again, or the next view replaces it.
 
-// correction says that a target does or does not hold a name, against the view.
+// correction overrides the view on whether a target holds a name.
 type correction struct {
-	here  bool
-	order uint64 // the order that the view showed then
+	held  bool
+	order uint64 // the order in the view when the correction was made
 	until time.Time
 }
 
-// corrections are kept by name, then by target.
+// corrections maps names to targets to corrections.
 type corrections map[string]map[string]correction
 
 func (c corrections) set(name, target string, fix correction) {
@@ -27,6 +25,7 @@
 	c[name][target] = fix
 }
 
+// expire deletes the corrections whose time is over.
 func (c corrections) expire(now time.Time) {
 	for name, byTarget := range c {
 		for target, fix := range byTarget {
@@ -40,45 +39,47 @@
 	}
 }
 
-// apply returns the targets of one name: those of the view that no correction
-// denies, and those that a correction adds. The order is not defined.
-func (c corrections) apply(name string, viewed []Replica, now time.Time) []string {
+// apply returns the targets of one name: those of the confirmed replicas that no
+// correction removes, and those that a correction adds. The order is unspecified.
+func (c corrections) apply(name string, confirmed []Replica, now time.Time) []string {
 	fixes := c[name]
-	out := make([]string, 0, len(viewed)+len(fixes))
-	shown := make(map[string]bool, len(viewed))
-	for _, v := range viewed {
-		shown[v.Target] = true
+	out := make([]string, 0, len(confirmed)+len(fixes))
+	inView := make(map[string]bool, len(confirmed))
+	for _, v := range confirmed {
+		inView[v.Target] = true
 		fix, ok := fixes[v.Target]
-		if ok && !fix.here && v.Order <= fix.order && now.Before(fix.until) {
+		if ok && !fix.held && v.Order <= fix.order && now.Before(fix.until) {
 			continue
 		}
 		out = append(out, v.Target)
 	}
 	for target, fix := range fixes {
-		if fix.here && !shown[target] && now.Before(fix.until) {
+		if fix.held && !inView[target] && now.Before(fix.until) {
 			out = append(out, target)
 		}
 	}
 	return out
 }
 
-// correct takes a refusal "not here" with the target's residency.
-func (r *Router) correct(t *target, name string, resident []string, now time.Time) {
+// applyNotHere corrects the view after a refusal of the kind fault.NotHere: the target
+// does not hold name and holds the names in resident.
+func (r *Router) applyNotHere(t *target, name string, resident []string, now time.Time) {
 	until := now.Add(r.settings.CorrectionTTL)
-	r.fixes.set(name, t.name, correction{order: r.order(name, t.name), until: until})
-	r.regroup(name, now)
-	for _, held := range resident {
-		if held == name || r.order(held, t.name) != 0 {
+	r.corrections.set(name, t.name, correction{order: r.confirmedOrder(name, t.name), until: until})
+	r.rebuildSet(name, now)
+	for _, other := range resident {
+		if other == name || r.confirmedOrder(other, t.name) != 0 {
 			continue
 		}
-		r.fixes.set(held, t.name, correction{here: true, until: until})
-		r.regroup(held, now)
+		r.corrections.set(other, t.name, correction{held: true, until: until})
+		r.rebuildSet(other, now)
 	}
 }
 
-// order is the order that the view shows for a name on a target, 0 for none.
-func (r *Router) order(name, target string) uint64 {
-	for _, v := range r.viewed[name] {
+// confirmedOrder returns the order of a name on a target in the view, or 0 if there is
+// none.
+func (r *Router) confirmedOrder(name, target string) uint64 {
+	for _, v := range r.confirmed[name] {
 		if v.Target == target {
 			return v.Order
 		}
--- a/coord/routing/doc.go
+++ b/coord/routing/doc.go
@@ -1,8 +1,9 @@
-// Package routing chooses the target for one attempt from a view that lags.
+// Package routing chooses the target for each attempt of a request from a possibly
+// stale view of the replicas.
 //
-// Each entry host owns one Router and calls it from one goroutine, or under one
-// lock of its own: the package holds no lock. SetView brings the replicas that
-// control has confirmed; Pick chooses, Started and Finished keep the host's own
-// requests in flight, Reported brings the load that came back with a reply, and
-// Refused corrects the view from an agent's refusal.
+// Each entry host owns one Router and calls it from one goroutine or under its own
+// lock: the package does no locking. SetView installs the replicas confirmed by
+// control, Pick chooses a target, Started and Finished track the host's own requests
+// in flight, Reported records the load returned with a reply, and Refused corrects
+// the view after an agent's refusal.
 package routing
--- a/coord/routing/invariant_test.go
+++ b/coord/routing/invariant_test.go
@@ -13,8 +13,8 @@
 	"cowsliptiller/coord/routing"
 )
 
-// TestMain fixes rapid's seed, so that each run gives the same verdict. Give
-// -rapid.seed for another one.
+// TestMain sets a fixed seed for rapid, so that test runs are reproducible. The flag
+// -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -23,17 +23,17 @@
 	m.Run()
 }
 
-// Random choices, replies, failures, refusals and views, against an oracle that
-// keeps what may not be chosen.
+// TestInvariants applies random picks, replies, failures, refusals and views, and checks
+// each pick against a model of the targets that may not be chosen.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "targets")
 		v := fleet(n)
 		r := newRouter(v)
 		now := start
-		leaving := map[string]time.Time{} // until when
-		denied := map[string]time.Time{}
-		flight := map[string]int{}
+		leaving := map[string]time.Time{} // until when, by target
+		denied := map[string]time.Time{}  // refused as fault.NotHere, until when
+		inFlight := map[string]int{}
 		target := rapid.Custom(func(t *rapid.T) string {
 			return fmt.Sprintf("t%04d", rapid.IntRange(0, n-1).Draw(t, "t"))
 		})
@@ -51,17 +51,17 @@
 					return
 				}
 				if forbidden(name, q) {
-					t.Fatalf("chose %s, which may not be chosen", name)
+					t.Fatalf("Pick chose %s, which is excluded, leaving or refused the name", name)
 				}
 				r.Started(name, q, now)
-				flight[name]++
+				inFlight[name]++
 			},
 			"end": func(t *rapid.T) {
 				name := target.Draw(t, "target")
-				if flight[name] == 0 {
+				if inFlight[name] == 0 {
 					return
 				}
-				flight[name]--
+				inFlight[name]--
 				outcome := rapid.SampledFrom([]routing.Outcome{routing.Served, routing.Failed, routing.Neutral}).Draw(t, "outcome")
 				r.Finished(name, m, outcome, time.Duration(rapid.IntRange(0, 999).Draw(t, "ms"))*time.Millisecond, now)
 			},
@@ -85,7 +85,7 @@
 			"": func(t *rapid.T) {
 				fresh := routing.Request{Name: "m"}
 				if name, ok := r.Pick(fresh, now); ok && forbidden(name, fresh) {
-					t.Fatalf("chose %s, which may not be chosen", name)
+					t.Fatalf("Pick chose %s, which is leaving or refused the name", name)
 				}
 			},
 		})
--- a/coord/routing/pace.go
+++ b/coord/routing/pace.go
@@ -2,29 +2,32 @@
 
 import "time"
 
-// A slow target. Pattern of load: one target of several answers, but slowly (a
-// hot accelerator, a neighbour on its host). Its queue looks no longer than the
-// others', so load alone sends it its full share, and those requests miss their
-// deadlines. Service times differ by model, so a target is compared with its
-// peers for the same name; the mean over the group moves slower than the target's
-// own pace, so that one slow member does not look normal.
+// Load pattern: one target answers slowly (thermal throttling, other load on its host).
+// Without it: its queue looks as short as the others', so it gets its full share and those
+// requests miss their deadlines.
+// Rule: compare a target's service time with the mean for the same name, as times differ
+// by model. The mean adapts more slowly, so that one slow target does not look normal.
+
+// Weights of one sample in the moving means, and the bound of one sample's ratio.
 const (
-	paceWeight  = 0.2
-	groupWeight = 0.05
-	maxPace     = 16.0
+	slowdownWeight = 0.2
+	setMeanWeight  = 0.05
+	maxSlowdown    = 16.0
 )
 
-func (r *Router) pace(t *target, name string, took time.Duration) {
-	g := r.serving[name]
-	if g == nil || took <= 0 || len(g.all) < 2 {
+// updateSlowdown records the service time of a served request. It needs at least two
+// targets to compare.
+func (r *Router) updateSlowdown(t *target, name string, took time.Duration) {
+	set := r.sets[name]
+	if set == nil || took <= 0 || len(set.all) < 2 {
 		return
 	}
 	s := took.Seconds()
-	if g.service == 0 {
-		g.service = s
+	if set.meanServiceTime == 0 {
+		set.meanServiceTime = s
 	}
-	ratio := min(s/g.service, maxPace)
-	t.pace += paceWeight * (ratio - t.pace)
-	// A sample far above the mean moves it as twice the mean would.
-	g.service += groupWeight * (min(s, 2*g.service) - g.service)
+	ratio := min(s/set.meanServiceTime, maxSlowdown)
+	t.slowdown += slowdownWeight * (ratio - t.slowdown)
+	// Samples are capped at twice the mean, to limit the effect of outliers.
+	set.meanServiceTime += setMeanWeight * (min(s, 2*set.meanServiceTime) - set.meanServiceTime)
 }
--- a/coord/routing/router.go
+++ b/coord/routing/router.go
@@ -11,40 +11,43 @@
 
 // Router chooses targets. It is not safe for concurrent use.
 type Router struct {
-	settings Settings
-	domain   string
-	rnd      *rand.Rand
-	targets  map[string]*target
-	serving  map[string]*group
-	viewed   map[string][]Replica
-	fixes    corrections
-	affinity affinity
+	settings    Settings
+	domain      string
+	rnd         *rand.Rand
+	targets     map[string]*target
+	sets        map[string]*targetSet
+	confirmed   map[string][]Replica
+	corrections corrections
+	affinity    affinity
 }
 
-// group is the replicas of one name, all and those in the host's own domain.
-type group struct {
-	all    []*target
-	local  []*target
-	member map[*target]bool
-	// service is the recent mean service time over the group.
-	service float64
+// targetSet holds the targets of one name: all of them, and those in the entry host's own
+// failure domain.
+type targetSet struct {
+	all     []*target
+	local   []*target
+	members map[*target]bool
+	// meanServiceTime is the moving mean over all targets of the set, in seconds.
+	meanServiceTime float64
 }
 
-// New returns a router for an entry host in a failure domain. It draws on rnd only.
+// New returns a router for an entry host in a failure domain. All random choices use
+// rnd.
 func New(domain string, s Settings, rnd rand.Source) *Router {
 	return &Router{
-		settings: s,
-		domain:   domain,
-		rnd:      rand.New(rnd),
-		targets:  map[string]*target{},
-		serving:  map[string]*group{},
-		fixes:    corrections{},
-		affinity: newAffinity(s.AffinityEntries, s.AffinityTTL),
+		settings:    s,
+		domain:      domain,
+		rnd:         rand.New(rnd),
+		targets:     map[string]*target{},
+		sets:        map[string]*targetSet{},
+		corrections: corrections{},
+		affinity:    newAffinity(s.AffinityEntries, s.AffinityTTL),
 	}
 }
 
-// SetView replaces the confirmed view, which nobody may change after. What was measured of the targets stays;
-// corrections stay until the view shows a newer order, or their time is over.
+// SetView replaces the confirmed view. The caller must not modify v afterwards. The state
+// measured for targets that remain in the view is kept. Corrections stay in force until
+// they expire or the view shows a newer order.
 func (r *Router) SetView(v View, now time.Time) {
 	for name, tv := range v.Targets {
 		t := r.targetFor(name)
@@ -58,66 +61,66 @@
 			delete(r.targets, name)
 		}
 	}
-	r.viewed = v.Serving
-	r.fixes.expire(now)
-	for name, g := range r.serving {
-		if len(v.Serving[name]) == 0 && len(r.fixes[name]) == 0 {
-			delete(r.serving, name)
+	r.confirmed = v.Serving
+	r.corrections.expire(now)
+	for name, set := range r.sets {
+		if len(v.Serving[name]) == 0 && len(r.corrections[name]) == 0 {
+			delete(r.sets, name)
 			continue
 		}
-		g.all, g.local = g.all[:0], g.local[:0]
+		set.all, set.local = set.all[:0], set.local[:0]
 	}
 	for name := range v.Serving {
-		r.regroup(name, now)
+		r.rebuildSet(name, now)
 	}
-	for name := range r.fixes {
-		r.regroup(name, now)
+	for name := range r.corrections {
+		r.rebuildSet(name, now)
 	}
 }
 
-// Serves reports whether the router knows a target for a name, whatever its state.
+// Serves reports whether there is a target for a name, whatever its state.
 func (r *Router) Serves(name string) bool {
-	g := r.serving[name]
-	return g != nil && len(g.all) > 0
+	set := r.sets[name]
+	return set != nil && len(set.all) > 0
 }
 
-// Pick chooses a target for one attempt. It returns false when no target is known
-// to serve the name, or all that do are excluded, leaving or failing; the request
-// then waits or is refused.
+// Pick chooses a target for one attempt. It returns false if no target is known to serve
+// the name, or all that do are excluded, leaving or failing. The caller then lets the
+// request wait or refuses it.
 func (r *Router) Pick(q Request, now time.Time) (string, bool) {
-	g := r.serving[q.Name]
-	if g == nil || len(g.all) == 0 {
+	set := r.sets[q.Name]
+	if set == nil || len(set.all) == 0 {
 		return "", false
 	}
-	if t := r.affinity.find(q, now); t != "" {
-		if known := r.targets[t]; known != nil && r.holds(g, known, choice{request: q, now: now}) {
+	if t := r.affinity.lookup(q, now); t != "" {
+		if known := r.targets[t]; known != nil && r.acceptsAffinity(set, known, choice{request: q, now: now}) {
 			return t, true
 		}
 	}
 	c := choice{q, now, r.rnd.Float64()}
-	if t := r.choose(g, c); t != nil {
+	if t := r.pickOfTwo(set, c); t != nil {
 		return t.name, true
 	}
-	// Nobody healthy is left: a target on its way back is better than none.
-	c.coin, c.request.Careful = 0, false
-	if t := r.choose(g, c); t != nil {
+	// No healthy target is left: use a recovering one.
+	c.sample, c.request.Careful = 0, false
+	if t := r.pickOfTwo(set, c); t != nil {
 		return t.name, true
 	}
 	return "", false
 }
 
-// Least returns the target with the shortest wait of all that Pick may choose. It costs
-// a look at each replica, so it is for the few requests that would be refused at the
-// better one of two: with eight copies of a model, one of them empty, every second
-// request was refused for the queue of another.
+// Least returns the target with the shortest estimated wait of all that Pick may choose.
+// It examines each replica, so it is meant for the few requests that would be refused at
+// the better of two random candidates: with eight replicas of a model, one of them idle,
+// every second request was refused because of another replica's queue.
 func (r *Router) Least(q Request, now time.Time) (string, bool) {
-	g := r.serving[q.Name]
-	if g == nil {
+	set := r.sets[q.Name]
+	if set == nil {
 		return "", false
 	}
 	var least *target
-	for _, t := range g.all {
-		if r.usable(t, choice{request: q, now: now}) && (least == nil || r.wait(t, now) < r.wait(least, now)) {
+	for _, t := range set.all {
+		if r.usable(t, choice{request: q, now: now}) && (least == nil || r.estimatedWait(t, now) < r.estimatedWait(least, now)) {
 			least = t
 		}
 	}
@@ -127,114 +130,119 @@
 	return least.name, true
 }
 
-// choice is one Pick under way. Its coin is thrown once, so that a target on its
-// way back gets its share however often it is drawn.
+// choice holds the parameters of one Pick. sample is drawn once from [0,1), so that a
+// recovering target gets its share however often it is considered.
 type choice struct {
 	request Request
 	now     time.Time
-	coin    float64
+	sample  float64
 }
 
-// choose compares two candidates: one of the host's own domain if it has any, and
-// one of all.
-func (r *Router) choose(g *group, c choice) *target {
-	a := r.draw(g.local, c, nil)
+// pickOfTwo chooses between two random candidates: one in the host's own failure domain
+// if there is any, and one of all.
+func (r *Router) pickOfTwo(set *targetSet, c choice) *target {
+	a := r.randomUsable(set.local, c, nil)
 	if a == nil {
-		a = r.draw(g.all, c, nil)
+		a = r.randomUsable(set.all, c, nil)
 	}
-	b := r.draw(g.all, c, a)
+	b := r.randomUsable(set.all, c, a)
 	if a == nil || b == nil {
 		return a
 	}
 	return r.better(a, b, c)
 }
 
-// holds reports whether a target with the prefix or adapter may be taken without
-// comparison: it serves the name, is no trouble, and has room.
-func (r *Router) holds(g *group, t *target, c choice) bool {
-	return g.member[t] && r.usable(t, c) &&
-		t.circuit.left == 0 && t.slowness(r.settings.SlowRatio) == 1 &&
-		t.load(c.now) < r.settings.AffinityLoad
+// acceptsAffinity reports whether a target that holds the prefix or adapter may be chosen
+// without comparison: it serves the name, is healthy and not slow, and has room.
+func (r *Router) acceptsAffinity(set *targetSet, t *target, c choice) bool {
+	return set.members[t] && r.usable(t, c) &&
+		t.circuit.stepsLeft == 0 && t.slowdownFactor(r.settings.SlowRatio) == 1 &&
+		t.load(c.now) < r.settings.AffinityMaxLoad
 }
 
-// draws is how many times a random member is tried before the list is searched
-// in order: most draws succeed at once, and the search keeps the answer exact.
-const draws = 4
+// randomTries is the number of random draws before the list is searched in order.
+// Most draws succeed at once, and the search finds a usable target if there is any.
+const randomTries = 4
 
-// draw returns a usable member of list other than not, at random.
-func (r *Router) draw(list []*target, c choice, not *target) *target {
+// randomUsable returns a random usable target from list other than skip, or nil if there
+// is none.
+func (r *Router) randomUsable(list []*target, c choice, skip *target) *target {
 	if len(list) == 0 {
 		return nil
 	}
-	for range draws {
+	for range randomTries {
 		t := list[r.rnd.IntN(len(list))]
-		if t != not && r.usable(t, c) {
+		if t != skip && r.usable(t, c) {
 			return t
 		}
 	}
 	start := r.rnd.IntN(len(list))
 	for i := range list {
 		t := list[(start+i)%len(list)]
-		if t != not && r.usable(t, c) {
+		if t != skip && r.usable(t, c) {
 			return t
 		}
 	}
 	return nil
 }
 
+// usable reports whether the choice may take t. A Careful request needs a closed circuit;
+// others get a recovering target's allowed share.
 func (r *Router) usable(t *target, c choice) bool {
 	if t.leaving(c.now) || slices.Contains(c.request.Exclude, t.name) {
 		return false
 	}
-	share := t.circuit.share(r.settings, c.now)
+	share := t.circuit.allowedShare(r.settings, c.now)
 	if c.request.Careful {
 		return share == 1
 	}
-	return share > c.coin
+	return share > c.sample
 }
 
-// better compares two targets by the wait that a request would meet there.
+// better returns the target with the shorter estimated wait. A fraction SlowProbeShare of
+// the requests that are not Careful gets b without comparison.
 func (r *Router) better(a, b *target, c choice) *target {
-	if !c.request.Careful && r.rnd.Float64() < r.settings.TryShare {
+	if !c.request.Careful && r.rnd.Float64() < r.settings.SlowProbeShare {
 		return b
 	}
-	if r.wait(b, c.now) < r.wait(a, c.now) {
+	if r.estimatedWait(b, c.now) < r.estimatedWait(a, c.now) {
 		return b
 	}
 	return a
 }
 
-// wait is a measure of the time a request takes at t: its place among those that
-// run there, times the target's pace. An empty slow target still costs its pace.
-func (r *Router) wait(t *target, now time.Time) float64 {
-	carried := t.load(now)
+// estimatedWait returns a relative measure, without unit, of the time that a request takes
+// at t: its position in the load, times the slowdown factor. An idle slow target still
+// costs its slowdown.
+func (r *Router) estimatedWait(t *target, now time.Time) float64 {
+	load := t.load(now)
 	if t.view.FailureDomain != r.domain {
-		carried += r.settings.LocalBias
+		load += r.settings.LocalBias
 	}
-	return (1 + carried) * t.slowness(r.settings.SlowRatio)
+	return (1 + load) * t.slowdownFactor(r.settings.SlowRatio)
 }
 
-// Started notes that an attempt was handed over.
+// Started records that an attempt was handed over to a target.
 func (r *Router) Started(name string, q Request, now time.Time) {
 	t := r.targetFor(name)
 	t.inFlight++
-	t.since++
+	t.startedSinceReport++
 	t.circuit.started(r.settings)
-	r.affinity.note(q, name, now)
+	r.affinity.record(q, name, now)
 }
 
-// Finished notes that an attempt ended, and how long it took (0: not known).
+// Finished records the outcome of an attempt and how long it took (0: not known).
 func (r *Router) Finished(name string, q Request, o Outcome, took time.Duration, now time.Time) {
 	t := r.targets[name]
 	if t == nil {
 		return
 	}
 	t.inFlight = max(0, t.inFlight-1)
-	t.since = min(t.since, t.inFlight)
+	t.startedSinceReport = min(t.startedSinceReport, t.inFlight)
 	switch o {
 	case Served:
 		t.circuit.served()
-		r.pace(t, q.Name, took)
+		r.updateSlowdown(t, q.Name, took)
 	case Failed:
 		t.circuit.failed(r.settings, now.Add(-took), now)
 	case Neutral:
@@ -242,59 +250,60 @@
 	}
 }
 
-// Reported takes the load that came back with a reply.
+// Reported records the load that a target returned with a reply.
 func (r *Router) Reported(name string, p Report, now time.Time) {
 	t := r.targets[name]
 	if t == nil {
 		return
 	}
-	t.report, t.reported = p, now
-	t.since = 0
+	t.report, t.reportedAt = p, now
+	t.startedSinceReport = 0
 }
 
-// Refused corrects the view from an agent's refusal; resident is the residency
-// that came with it, nil if none did. The request goes on with its deadline to
-// the next choice, with this target excluded.
+// Refused corrects the view after an agent's refusal. resident is the residency sent with
+// it, or nil if there was none. The caller retries the request under its original deadline
+// with this target excluded.
 func (r *Router) Refused(name string, q Request, kind fault.Kind, resident []string, now time.Time) {
 	t := r.targetFor(name)
 	switch kind {
 	case fault.Leaving:
 		t.leavingUntil = now.Add(r.settings.CorrectionTTL)
 	case fault.NotHere:
-		r.correct(t, q.Name, resident, now)
+		r.applyNotHere(t, q.Name, resident, now)
 	}
 }
 
+// targetFor returns the state of a target, and creates it if needed.
 func (r *Router) targetFor(name string) *target {
 	t := r.targets[name]
 	if t == nil {
-		t = &target{name: name, pace: 1}
+		t = &target{name: name, slowdown: 1}
 		r.targets[name] = t
 	}
 	return t
 }
 
-// regroup derives the members of one name from the view and the corrections.
-func (r *Router) regroup(name string, now time.Time) {
-	g := r.serving[name]
-	if g == nil {
-		g = &group{member: map[*target]bool{}}
-		r.serving[name] = g
+// rebuildSet derives the targets of one name from the view and the corrections.
+func (r *Router) rebuildSet(name string, now time.Time) {
+	set := r.sets[name]
+	if set == nil {
+		set = &targetSet{members: map[*target]bool{}}
+		r.sets[name] = set
 	}
-	g.all, g.local = g.all[:0], g.local[:0]
-	clear(g.member)
-	for _, target := range r.fixes.apply(name, r.viewed[name], now) {
+	set.all, set.local = set.all[:0], set.local[:0]
+	clear(set.members)
+	for _, target := range r.corrections.apply(name, r.confirmed[name], now) {
 		t := r.targets[target]
 		if t == nil {
 			continue
 		}
-		g.all = append(g.all, t)
-		g.member[t] = true
+		set.all = append(set.all, t)
+		set.members[t] = true
 	}
-	slices.SortFunc(g.all, func(a, b *target) int { return cmp.Compare(a.name, b.name) })
-	for _, t := range g.all {
+	slices.SortFunc(set.all, func(a, b *target) int { return cmp.Compare(a.name, b.name) })
+	for _, t := range set.all {
 		if t.view.FailureDomain == r.domain {
-			g.local = append(g.local, t)
+			set.local = append(set.local, t)
 		}
 	}
 }
--- a/coord/routing/routing_test.go
+++ b/coord/routing/routing_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// fleet is a view of n targets over three domains, all serving "m".
+// fleet returns a view of n targets in three failure domains, all serving "m".
 func fleet(n int) routing.View {
 	v := routing.View{Targets: map[string]routing.TargetView{}, Serving: map[string][]routing.Replica{}}
 	for i := range n {
@@ -55,8 +55,8 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	// A model has eight copies, and the queues of seven are full. Requests are refused for
-	// the queue of the better one of two, though the eighth copy has nothing to do.
+	// Seven of eight replicas of a model have full queues. Guards against refusing requests
+	// because both random candidates are full, although the eighth replica is idle.
 	It("finds the one copy that is free when the others are full", func() {
 		r := newRouter(fleet(8))
 		for i := range 7 {
@@ -81,9 +81,9 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	// A burst comes in at one entry host between two replies. The reported load
-	// is the same for all that time; counted by it alone, the target that was
-	// least loaded would get the whole burst.
+	// A burst arrives at one entry host between two replies, while the reported loads do
+	// not change. Guards against sending the whole burst to the target that reported the
+	// lowest load.
 	It("spreads a burst between replies by its own requests in flight", func() {
 		r := newRouter(fleet(2))
 		r.Reported("t0000", routing.Report{Running: 4, Limit: 8}, start)
@@ -98,8 +98,8 @@
 		Expect(got["t0000"]).To(BeNumerically("<=", 4))
 	})
 
-	// One accelerator runs hot and answers four times slower. Its queue looks as
-	// short as the others', and callers routed there miss their deadlines.
+	// One target is four times slower, but its queue looks as short as the others'. Guards
+	// against giving it a full share of requests, which then miss their deadlines.
 	It("gives a slow target less, not none, and its share again once it recovers", func() {
 		r := newRouter(fleet(4))
 		slow, before := serve(r, 2000, map[string]time.Duration{"t0001": 400 * time.Millisecond})
@@ -111,8 +111,8 @@
 		Expect(recovered).To(BeNumerically(">", 0.12))
 	})
 
-	// A model has moved; this host's view does not show it yet. Without the
-	// correction each request of a burst would first go to the old place.
+	// A model has moved and the view is stale. Guards against each request of a burst
+	// going to the old target first.
 	It("believes the residency in a refusal until the view shows a newer order", func() {
 		v := fleet(1)
 		v.Targets["t9"] = routing.TargetView{FailureDomain: "d1", Concurrency: 8}
@@ -124,12 +124,12 @@
 		Expect(ok).To(BeTrue())
 		Expect(name).To(Equal("t0000"))
 
-		r.SetView(v, start.Add(time.Second)) // still the old order
+		r.SetView(v, start.Add(time.Second)) // still shows the old order
 		_, ok = r.Pick(m, start.Add(time.Second))
 		Expect(ok).To(BeFalse())
 
 		newer := fleet(1)
-		newer.Serving["m"][0].Order = 99 // loaded there again since
+		newer.Serving["m"][0].Order = 99 // loaded there again in the meantime
 		r.SetView(newer, start.Add(2*time.Second))
 		_, ok = r.Pick(m, start.Add(2*time.Second))
 		Expect(ok).To(BeTrue())
@@ -144,9 +144,9 @@
 		}
 	})
 
-	// Something on the path loses track of the connection to the only target. What
-	// runs on it fails together a second later; new connections work at once. Callers
-	// were refused for half a minute, since each failure doubled the circuit's time.
+	// The connection to the only target stops responding: all requests on it fail together
+	// a second later, while new connections work. Guards against counting each as a failed
+	// recovery, which doubled the open time and refused callers for 30 s.
 	It("takes failures of requests that began together for one", func() {
 		r := newRouter(fleet(1))
 		for range 20 {
@@ -155,15 +155,15 @@
 		for i := range 20 {
 			r.Finished("t0000", m, routing.Failed, time.Second, start.Add(time.Second+time.Duration(i)*time.Millisecond))
 		}
-		open := routing.DefaultSettings().OpenFor
+		open := routing.DefaultSettings().OpenDuration
 		_, ok := r.Pick(m, start.Add(time.Second+open/2))
 		Expect(ok).To(BeFalse())
 		_, ok = r.Pick(m, start.Add(time.Second+open+30*time.Millisecond))
 		Expect(ok).To(BeTrue())
 	})
 
-	// A target dies and comes back cold. Sent its full share at once, it would
-	// fall over again.
+	// A target fails and restarts with cold caches. Guards against overloading it again by
+	// giving it its full share at once.
 	It("opens a circuit after failures and closes it by steps", func() {
 		r := newRouter(fleet(2))
 		for range 3 {
@@ -179,7 +179,7 @@
 		q.Careful = true
 		for range 50 {
 			name, _ := r.Pick(q, later)
-			Expect(name).To(Equal("t0001"), "a careful request is no probe")
+			Expect(name).To(Equal("t0001"), "a Careful request is not used as a probe")
 		}
 		probes := 0
 		for range 200 {
@@ -188,7 +188,7 @@
 				r.Started(name, m, later)
 			}
 		}
-		Expect(probes).To(Equal(1), "one probe at a time")
+		Expect(probes).To(Equal(1), "number of concurrent probes")
 		r.Finished("t0000", m, routing.Served, 0, later)
 		back := 0
 		for range 200 {
@@ -213,14 +213,15 @@
 	})
 })
 
-// serve runs n requests, four at a time, and returns t0001's share of them.
+// serve runs n requests, up to four at a time, and returns the share of them that t0001
+// got, and their number. slow gives service times that differ from 100 ms, by target.
 func serve(r *routing.Router, n int, slow map[string]time.Duration) (share float64, hits int) {
 	type running struct {
 		target string
 		took   time.Duration
 	}
 	now := start
-	var flight []running
+	var inFlight []running
 	for range n {
 		now = now.Add(25 * time.Millisecond)
 		name, ok := r.Pick(m, now)
@@ -233,12 +234,12 @@
 		if name == "t0001" {
 			hits++
 		}
-		flight = append(flight, running{name, took})
-		if len(flight) < 4 {
+		inFlight = append(inFlight, running{name, took})
+		if len(inFlight) < 4 {
 			continue
 		}
-		r.Finished(flight[0].target, m, routing.Served, flight[0].took, now)
-		flight = flight[1:]
+		r.Finished(inFlight[0].target, m, routing.Served, inFlight[0].took, now)
+		inFlight = inFlight[1:]
 	}
 	return float64(hits) / float64(n), hits
 }
--- a/coord/routing/settings.go
+++ b/coord/routing/settings.go
@@ -2,51 +2,57 @@
 
 import "time"
 
-// Settings are the router's thresholds; docs/design/routing.md argues for them.
+// Settings are the router's thresholds. docs/design/routing.md gives the reasons for
+// their values.
 type Settings struct {
-	// LocalBias is how much more load, as a share of its limit, a target in the
-	// entry host's own failure domain may carry and still be preferred. The way
-	// to another domain costs a millisecond or two, a queued request far more,
-	// so the bias is small.
+	// LocalBias is the extra load, as a fraction of the limit, up to which a target
+	// in the entry host's own failure domain is still preferred. A hop to another
+	// domain costs 1 or 2 ms, a queued request far more, so the bias is small.
 	LocalBias float64
-	// AffinityLoad is the share of its limit up to which a target that holds
-	// the prefix or adapter is taken without comparison.
-	AffinityLoad float64
-	// AffinityTTL is how long a prefix is believed to be cached where it ran.
+	// AffinityMaxLoad is the load, as a fraction of the limit, below which a target
+	// that holds the prefix or adapter is chosen without comparison.
+	AffinityMaxLoad float64
+	// AffinityTTL is how long a prefix or adapter is assumed to be cached where it
+	// was last used.
 	AffinityTTL time.Duration
-	// AffinityEntries bounds the table of prefixes.
+	// AffinityEntries is the maximum number of entries in the affinity table; 0
+	// turns affinity off.
 	AffinityEntries int
-	// TryShare is the share of choices that take a slow target all the same, so
-	// that its recovery is seen.
-	TryShare float64
-	// SlowRatio is the ratio to its peers' time above which a target is slow.
+	// SlowProbeShare is the fraction of choices between two candidates that skip the
+	// comparison, so that slow targets get some requests and their recovery is
+	// detected.
+	SlowProbeShare float64
+	// SlowRatio is the ratio of a target's service time to the mean of its peers
+	// above which the target counts as slow.
 	SlowRatio float64
-	// FailuresToOpen is how many failures in a row open a target's circuit.
+	// FailuresToOpen is the number of consecutive failures that opens a target's
+	// circuit.
 	FailuresToOpen int
-	// OpenFor is how long a circuit stays open at first; it doubles up to MaxOpenFor.
-	OpenFor    time.Duration
-	MaxOpenFor time.Duration
-	// ReturnSteps is how many served requests a target needs after that until
-	// it gets its full share again.
-	ReturnSteps int
-	// CorrectionTTL bounds how long a correction stands against the view. The
-	// view lags by seconds at most.
+	// OpenDuration is how long a circuit stays open the first time. It doubles with
+	// each failed recovery, up to MaxOpenDuration.
+	OpenDuration    time.Duration
+	MaxOpenDuration time.Duration
+	// RecoverySteps is the number of served requests after the open time until a
+	// target gets its full share again.
+	RecoverySteps int
+	// CorrectionTTL is how long a correction overrides the view. The view is stale
+	// by a few seconds at most.
 	CorrectionTTL time.Duration
 }
 
-// DefaultSettings returns the settings in use.
+// DefaultSettings returns the settings that entry hosts use.
 func DefaultSettings() Settings {
 	return Settings{
 		LocalBias:       0.1,
-		AffinityLoad:    0.75,
+		AffinityMaxLoad: 0.75,
 		AffinityTTL:     2 * time.Minute,
 		AffinityEntries: 10_000,
-		TryShare:        0.02,
+		SlowProbeShare:  0.02,
 		SlowRatio:       1.5,
 		FailuresToOpen:  3,
-		OpenFor:         time.Second,
-		MaxOpenFor:      30 * time.Second,
-		ReturnSteps:     8,
+		OpenDuration:    time.Second,
+		MaxOpenDuration: 30 * time.Second,
+		RecoverySteps:   8,
 		CorrectionTTL:   10 * time.Second,
 	}
 }
--- a/coord/routing/target.go
+++ b/coord/routing/target.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// target is what this entry host knows of one target.
+// target is this entry host's state for one target.
 type target struct {
 	name string
 	view TargetView
-	// own requests in flight, and how many of them were started after the
-	// report: the report cannot count these.
-	inFlight int
-	since    int
-	report   Report
-	reported time.Time
-	// pace is the recent ratio of this target's service time to the mean of
-	// its peers for the same name; 1: as fast as they are.
-	pace    float64
-	circuit circuit
-	// leavingUntil holds a refusal "leaving" against a view that lags.
+	// This host's own requests in flight, and how many of them were started after
+	// the last report and so are not included in it.
+	inFlight           int
+	startedSinceReport int
+	report             Report
+	reportedAt         time.Time
+	// slowdown is the moving mean of the ratio of this target's service time to the
+	// mean of all targets of the same name; 1 is average.
+	slowdown float64
+	circuit  circuit
+	// leavingUntil is how long a refusal as leaving overrides a stale view.
 	leavingUntil time.Time
 }
 
-// limit is how many requests the target runs at once at full speed.
+// limit returns how many requests the target runs concurrently at full speed.
 func (t *target) limit() float64 {
 	switch {
 	case t.report.Limit > 0:
@@ -31,31 +31,32 @@
 	return 1
 }
 
-// load is the share of its limit that the target carries: what it last reported,
-// which ages, and what this host has sent since. Without a report, or with an old
-// one, this host's own requests are all it knows.
+// load returns the target's load as a fraction of its limit: the last reported load,
+// which decays linearly to 0 over reportMaxAge, plus the requests that this host has
+// started since, and at least this host's own requests in flight.
 func (t *target) load(now time.Time) float64 {
-	carried := float64(t.report.Running + t.report.Queued)
-	if age := now.Sub(t.reported); age >= reportLife {
-		carried = 0
+	reported := float64(t.report.Running + t.report.Queued)
+	if age := now.Sub(t.reportedAt); age >= reportMaxAge {
+		reported = 0
 	} else if age > 0 {
-		carried *= 1 - age.Seconds()/reportLife.Seconds()
+		reported *= 1 - age.Seconds()/reportMaxAge.Seconds()
 	}
-	return max(carried+float64(t.since), float64(t.inFlight)) / t.limit()
+	return max(reported+float64(t.startedSinceReport), float64(t.inFlight)) / t.limit()
 }
 
-// reportLife is after how long a report says nothing any more: a few service
-// times, after which what it counted has ended.
-const reportLife = 2 * time.Second
+// reportMaxAge is the age from which a reported load is ignored: a few service times,
+// after which the requests it counted have ended.
+const reportMaxAge = 2 * time.Second
 
 func (t *target) leaving(now time.Time) bool {
 	return t.view.Leaving || now.Before(t.leavingUntil)
 }
 
-// slow targets cost their pace; small differences are noise and cost nothing.
-func (t *target) slowness(ratio float64) float64 {
-	if t.pace <= ratio {
+// slowdownFactor returns the factor that multiplies the target's estimated wait. A
+// slowdown up to the threshold is treated as noise and gives 1.
+func (t *target) slowdownFactor(threshold float64) float64 {
+	if t.slowdown <= threshold {
 		return 1
 	}
-	return t.pace
+	return t.slowdown
 }
--- a/coord/routing/types.go
+++ b/coord/routing/types.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Replica is one place that serves a model or a plain service.
+// Replica is a target that serves a model or a plain service.
 type Replica struct {
 	Target string
 	// Order is the fencing number of the replica's newest order, or 0 for a
-	// plain service. A correction from a refusal holds against the view until
-	// the view shows a newer order.
+	// plain service. A correction from a refusal overrides the view until the
+	// view shows a newer order.
 	Order uint64
 }
 
-// View is what control has confirmed. Names of plain services are keyed with
-// ServiceName, so that a service and a model of one name do not mix.
+// View is the state confirmed by control. Plain services are keyed by ServiceName, so
+// that a service and a model of the same name do not collide.
 type View struct {
 	Targets map[string]TargetView
 	Serving map[string][]Replica // ready replicas by model, or targets by ServiceName
 }
 
-// TargetView is one target's standing.
+// TargetView is the confirmed state of one target.
 type TargetView struct {
 	FailureDomain string
 	Concurrency   int
-	Incarnation   string // of its agent: a new one ends what was held against the old
+	Incarnation   string // of its agent: a change resets the circuit and an earlier refusal as leaving
 	Leaving       bool
 }
 
-// ServiceName is the key of a plain service in View.Serving and Request.Name.
+// ServiceName returns the key of a plain service in View.Serving and Request.Name.
 func ServiceName(service string) string {
 	return "service/" + service
 }
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that routing depends on.
 type Request struct {
 	Name    string   // base model, or ServiceName
 	Adapter string   // empty: none
-	Prefix  uint64   // hash of the prompt's prefix; 0: none known
+	Prefix  uint64   // hash of the prompt's prefix; 0: not known
 	Exclude []string // targets that already refused this request
-	// Careful requests are never used to try out a target that is slow or was
-	// failing: non-repeatable calls, and those with little time left.
+	// Careful requests are never used to probe a slow or recovering target. It is
+	// set for calls that are not repeatable or are close to their deadline.
 	Careful bool
 }
 
-// Report is the load that came back with a reply.
+// Report is the load of a target as returned with a reply.
 type Report struct {
 	Running int
 	Queued  int
@@ -50,12 +50,12 @@
 	Service time.Duration // recent mean service time; 0: not known
 }
 
-// Outcome is how an attempt ended, as far as the target can be blamed.
+// Outcome classifies the end of an attempt by what it says about the target's health.
 type Outcome int
 
-// The outcomes.
+// Outcomes of an attempt.
 const (
 	Served  Outcome = iota // the target answered
-	Failed                 // the target or the way to it failed
-	Neutral                // refused, cancelled, or failed for reasons of the request
+	Failed                 // the target or the connection to it failed
+	Neutral                // refused, cancelled, or failed because of the request itself
 )
