--- a/coord/fair/doc.go
+++ b/coord/fair/doc.go
@@ -1,5 +1,5 @@
-// Package fair orders waiting work: classes first, then workspaces by the tokens
-// that each was served, then time. Entry hosts and agents use the same order.
+// Package fair implements the order of waiting work: by class, then by the tokens served
+// to each workspace, then by time. Entry hosts and agents use the same order.
 //
-// A Queue is plain data without a lock; its owner guards it.
+// A Queue is not safe for concurrent use; its owner does the locking.
 package fair
--- a/coord/fair/fair_test.go
+++ b/coord/fair/fair_test.go
@@ -13,8 +13,8 @@
 	"cowsliptiller/coord/fair"
 )
 
-// init gives rapid a fixed seed, so that each run has the same verdict; the flags of
-// the command line win.
+// init sets a fixed seed for rapid, so that test runs are reproducible. Flags on the command
+// line override it.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -33,8 +33,8 @@
 }
 
 var _ = Describe("the order of waiting work", func() {
-	// A small shop's calls wait behind a large buyer's: it sends more and longer ones,
-	// and the target serves whoever has most in the queue.
+	// Guards against a workspace with more and longer requests delaying a small one,
+	// as happens when items are served in order of arrival.
 	It("shares by tokens and rate, not by requests", func() {
 		var q fair.Queue
 		for n := range 400 {
@@ -51,7 +51,7 @@
 		Expect(float64(served["double"])).To(BeNumerically("~", 2*float64(served["small"]), 1100))
 	})
 
-	// A print shop's artwork brief is never answered while people keep calling.
+	// Guards against MustFinish work starving while interactive requests keep arriving.
 	It("moves work that must finish at its minimum share", func() {
 		var q fair.Queue
 		got := map[fair.Band]int64{}
@@ -67,8 +67,8 @@
 		Expect(float64(got[fair.ByDeadline]) / total).To(BeNumerically("~", 0.25, 0.01))
 	})
 
-	// A workspace that was silent for an hour comes back and takes the target for as
-	// long as the others had it.
+	// Guards against a workspace that was idle getting credit for its idle time and
+	// occupying the target for as long when it returns.
 	It("owes nothing for time in which a workspace wanted nothing", func() {
 		var q fair.Queue
 		for n := range 100 {
@@ -87,8 +87,8 @@
 		Expect(got["back"]).To(BeNumerically("~", 5, 1))
 	})
 
-	// A small workspace is refused because the queue of a large one is long, although
-	// its own turn comes soon.
+	// Guards against refusing a small workspace because of a large one's long queue,
+	// although its own item would be served soon.
 	It("forecasts the wait by fair share", func() {
 		var q fair.Queue
 		for n := range 100 {
@@ -114,7 +114,7 @@
 				"pop": func(t *rapid.T) {
 					it, ok := q.Pop()
 					if ok != (len(in) > 0) || ok && in[it.ID].ID != it.ID {
-						t.Fatalf("pop %v %v of %d", it, ok, len(in))
+						t.Fatalf("Pop() = %v, %v with %d waiting items", it, ok, len(in))
 					}
 					delete(in, it.ID)
 				},
@@ -122,7 +122,7 @@
 					id := fmt.Sprint(rapid.IntRange(0, n+1).Draw(t, "id"))
 					_, known := in[id]
 					if _, removed := q.Remove(id); removed != known {
-						t.Fatalf("remove %s: %v, known %v", id, removed, known)
+						t.Fatalf("Remove(%s) = %v, want %v", id, removed, known)
 					}
 					delete(in, id)
 				},
@@ -135,7 +135,7 @@
 						tokens += it.Tokens
 					}
 					if q.Len() != len(in) || q.Tokens() != tokens {
-						t.Fatalf("%d items of %d tokens, want %d of %d", q.Len(), q.Tokens(), len(in), tokens)
+						t.Fatalf("queue has %d items with %d tokens, want %d items with %d tokens", q.Len(), q.Tokens(), len(in), tokens)
 					}
 				},
 			})
--- a/coord/fair/queue.go
+++ b/coord/fair/queue.go
@@ -6,70 +6,65 @@
 	"time"
 )
 
-// Load pattern: one workspace sends several times what it is owed, some of it long;
-// people wait for short answers while work that only has to finish is queued up.
-//
-// Without fairness by tokens, the workspace with the most or the longest requests
-// gets the target and the small ones starve. With strict classes alone, work that has
-// to finish stands still for as long as people keep calling.
-//
-// The rules: start-time fair queueing between workspaces (Goyal, Vin, Cheng, 1996),
-// each weighted by its rate; interactive work first, but while other classes wait they
-// get at least a share of the tokens: a quarter for work with a deadline, a tenth for
-// work that has to finish. A tenth keeps it moving and costs people at most a ninth
-// more waiting; a quarter is above the share of such work in the deployments served.
-
-// Band is a class of urgency. Lower bands go first.
+// Load pattern: one workspace exceeds its share; interactive and MustFinish work waits.
+// Without it: small workspaces starve behind many or long requests, and strict priority
+// starves MustFinish work as long as interactive requests arrive.
+// Rule: start-time fair queueing of tokens between workspaces (Goyal, Vin, Cheng, 1996),
+// weighted by their rates. Interactive work goes first; waiting bands get minimumShare.
+
+// Band is a priority class. Lower bands go first.
 type Band int
 
-// The bands.
+// Bands in order of priority.
 const (
 	Interactive Band = iota
 	ByDeadline
 	MustFinish
-	Bands // number of bands
+	Bands // the number of bands
 )
 
-// minimumShare is the part of the tokens that a band gets while it waits.
+// minimumShare is the fraction of the tokens that a band gets at least while it has waiting
+// items. 10% for MustFinish lets it progress and adds at most 1/9 to the wait of interactive
+// work. 25% for ByDeadline exceeds the share of such work in the deployments served.
 var minimumShare = [Bands]float64{ByDeadline: 0.25, MustFinish: 0.10}
 
-// creditCap bounds what a band can be owed, in multiples of its next item, so that
-// a long wait does not turn into a long run of that band.
+// creditCap is the maximum credit of a band, in multiples of the cost of its next item. It
+// keeps a band that waited long from being served many items in a row.
 const creditCap = 4
 
-// Item is one piece of waiting work.
+// Item is one unit of waiting work.
 type Item struct {
 	ID        string
 	Workspace string
 	Band      Band
-	Weight    int64 // of the workspace: its rate in tokens a second
+	Weight    int64 // of the workspace: its rate in tokens per second
 	Tokens    int64 // expected cost, at least 1
 	Deadline  time.Time
 	Arrived   time.Time
 }
 
-// Queue holds waiting items. The zero value is ready.
+// Queue holds waiting items. The zero value is an empty queue.
 type Queue struct {
-	spaces map[string]*space
-	clock  float64 // virtual time: start tag of the item served last
-	credit [Bands]float64
-	waits  [Bands]int
-	tokens int64
+	workspaces  map[string]*workspaceQueue
+	virtualTime float64        // highest start tag of an item served so far
+	credit      [Bands]float64 // tokens that a waiting band is owed
+	waiting     [Bands]int     // number of items
+	tokens      int64          // expected cost of all items
 }
 
-// space is the waiting work of one workspace.
-type space struct {
-	name   string
-	tag    float64 // virtual start of its next item
-	weight int64
-	items  [Bands][]Item
-	cost   [Bands]int64 // sums of tokens
+// workspaceQueue holds the waiting items of one workspace.
+type workspaceQueue struct {
+	name       string
+	startTag   float64 // virtual start time of its next item
+	weight     int64
+	items      [Bands][]Item
+	bandTokens [Bands]int64 // expected cost of the items
 }
 
 // Len returns the number of waiting items.
 func (q *Queue) Len() int {
 	n := 0
-	for _, w := range q.waits {
+	for _, w := range q.waiting {
 		n += w
 	}
 	return n
@@ -82,43 +77,43 @@
 
 // Waiting returns the number of waiting items of a band.
 func (q *Queue) Waiting(b Band) int {
-	return q.waits[b]
+	return q.waiting[b]
 }
 
 // Push adds an item.
 func (q *Queue) Push(it Item) {
-	if q.spaces == nil {
-		q.spaces = make(map[string]*space)
+	if q.workspaces == nil {
+		q.workspaces = make(map[string]*workspaceQueue)
 	}
-	s, known := q.spaces[it.Workspace]
+	w, known := q.workspaces[it.Workspace]
 	if !known {
-		s = &space{name: it.Workspace}
-		q.spaces[it.Workspace] = s
+		w = &workspaceQueue{name: it.Workspace}
+		q.workspaces[it.Workspace] = w
 	}
-	s.weight = max(1, it.Weight)
-	if s.empty() {
-		// A workspace that was idle starts at the present: it is owed nothing for
-		// the time in which it wanted nothing.
-		s.tag = max(s.tag, q.clock)
+	w.weight = max(1, it.Weight)
+	if w.empty() {
+		// A workspace that was idle starts at the current virtual time, so that it
+		// gets no credit for its idle time.
+		w.startTag = max(w.startTag, q.virtualTime)
 	}
-	list := s.items[it.Band]
+	list := w.items[it.Band]
 	at := sort.Search(len(list), func(i int) bool { return before(it, list[i]) })
 	list = append(list, Item{})
 	copy(list[at+1:], list[at:])
 	list[at] = it
-	s.items[it.Band] = list
-	q.count(s, it, 1)
+	w.items[it.Band] = list
+	q.updateTotals(w, it, 1)
 }
 
-// count adds an item to the sums, or takes it out with sign -1.
-func (q *Queue) count(s *space, it Item, sign int) {
-	q.waits[it.Band] += sign
+// updateTotals adds an item to the totals with sign 1 and subtracts it with sign -1.
+func (q *Queue) updateTotals(w *workspaceQueue, it Item, sign int) {
+	q.waiting[it.Band] += sign
 	q.tokens += int64(sign) * it.Tokens
-	s.cost[it.Band] += int64(sign) * it.Tokens
+	w.bandTokens[it.Band] += int64(sign) * it.Tokens
 }
 
-// before orders the items of one workspace and band: earliest deadline first where
-// the deadline is the point of the class, else first come first served.
+// before reports whether a precedes b, both of one workspace and band: earliest deadline
+// first in ByDeadline, otherwise in order of arrival.
 func before(a, b Item) bool {
 	if a.Band == ByDeadline && !a.Deadline.Equal(b.Deadline) {
 		return a.Deadline.Before(b.Deadline)
@@ -129,75 +124,82 @@
 	return a.ID < b.ID
 }
 
-// Pop removes and returns the item that goes next.
+// Pop removes and returns the next item. It returns false if the queue is empty.
 func (q *Queue) Pop() (Item, bool) {
-	return q.PopBy(first)
+	return q.PopBy(firstItem)
 }
 
-// Chooser picks one of a workspace's waiting items of one band, which are in order,
-// or -1 for none. It is how a target prefers or passes over items of a workspace.
+// Chooser returns the index of one of a workspace's waiting items of one band, or -1 for
+// none. The items are sorted and never empty. A target uses it to prefer or skip items of
+// a workspace.
 type Chooser func(items []Item) int
 
-func first([]Item) int { return 0 }
+// firstItem is the Chooser that takes the items in order.
+func firstItem([]Item) int { return 0 }
 
-// PopBy is Pop with a chooser. A workspace of which it picks none is passed over.
+// PopBy is like Pop, but choose selects the item of a workspace. A workspace for which it
+// returns -1 is skipped.
 func (q *Queue) PopBy(choose Chooser) (Item, bool) {
 	for _, b := range q.bandOrder() {
-		s, i := q.pick(b, choose)
-		if s == nil {
+		w, i := q.pick(b, choose)
+		if w == nil {
 			continue
 		}
-		it := s.items[b][i]
-		s.items[b] = slices.Delete(s.items[b], i, i+1)
-		q.served(s, it)
+		it := w.items[b][i]
+		w.items[b] = slices.Delete(w.items[b], i, i+1)
+		q.charge(w, it)
 		return it, true
 	}
 	return Item{}, false
 }
 
-// bandOrder puts a band that is owed the cost of its next item in front.
+// bandOrder returns the order in which Pop tries the bands. Bands with enough credit for
+// their next item are tried before all others, the lowest priority first.
 func (q *Queue) bandOrder() []Band {
 	order := make([]Band, 0, 2*Bands)
 	for b := Bands - 1; b > Interactive; b-- {
-		if s, _ := q.pick(b, first); s != nil && q.credit[b] >= float64(s.items[b][0].Tokens) {
+		if w, _ := q.pick(b, firstItem); w != nil && q.credit[b] >= float64(w.items[b][0].Tokens) {
 			order = append(order, b)
 		}
 	}
 	return append(order, Interactive, ByDeadline, MustFinish)
 }
 
-// pick returns the workspace that goes next in a band, the least tag, then the name,
-// and which of its items.
-func (q *Queue) pick(b Band, choose Chooser) (best *space, item int) {
-	if q.waits[b] == 0 {
+// pick returns the next workspace of a band and the index of its item: the lowest start
+// tag, then the lowest name, of those for which choose returns an item. It returns nil if
+// there is none.
+func (q *Queue) pick(b Band, choose Chooser) (best *workspaceQueue, item int) {
+	if q.waiting[b] == 0 {
 		return nil, 0
 	}
-	for _, s := range q.spaces {
-		if len(s.items[b]) == 0 || best != nil && (s.tag > best.tag || s.tag == best.tag && s.name > best.name) {
+	for _, w := range q.workspaces {
+		if len(w.items[b]) == 0 || best != nil && (w.startTag > best.startTag || w.startTag == best.startTag && w.name > best.name) {
 			continue
 		}
-		if i := choose(s.items[b]); i >= 0 {
-			best, item = s, i
+		if i := choose(w.items[b]); i >= 0 {
+			best, item = w, i
 		}
 	}
 	return best, item
 }
 
-func (q *Queue) served(s *space, it Item) {
-	q.count(s, it, -1)
-	q.clock = max(q.clock, s.tag)
-	s.tag += cost(it.Weight, it.Tokens)
-	q.settleCredit(it)
-	q.forgetIdle(s)
+// charge accounts for an item that has been removed to be served.
+func (q *Queue) charge(w *workspaceQueue, it Item) {
+	q.updateTotals(w, it, -1)
+	q.virtualTime = max(q.virtualTime, w.startTag)
+	w.startTag += virtualCost(it.Weight, it.Tokens)
+	q.updateCredit(it)
+	q.dropIdle(w)
 }
 
-// settleCredit owes each waiting band its share of what others got.
-func (q *Queue) settleCredit(it Item) {
+// updateCredit credits each waiting band with its minimum share of the served item's tokens
+// and debits the item's own band.
+func (q *Queue) updateCredit(it Item) {
 	for b := ByDeadline; b < Bands; b++ {
 		switch {
 		case b == it.Band:
 			q.credit[b] = max(0, q.credit[b]-float64(it.Tokens)*(1-minimumShare[b]))
-		case q.waits[b] > 0:
+		case q.waiting[b] > 0:
 			q.credit[b] = min(q.credit[b]+float64(it.Tokens)*minimumShare[b], q.creditLimit(b))
 		default:
 			q.credit[b] = 0
@@ -205,52 +207,55 @@
 	}
 }
 
+// creditLimit returns the maximum credit of a band, which must have waiting items.
 func (q *Queue) creditLimit(b Band) float64 {
-	s, _ := q.pick(b, first)
-	return creditCap * float64(s.items[b][0].Tokens)
+	w, _ := q.pick(b, firstItem)
+	return creditCap * float64(w.items[b][0].Tokens)
 }
 
-// Ahead returns the expected cost of what would be served before a new item of a
-// workspace and band: its own items, and of each other workspace what its fair share
-// lets it have until the new item's turn.
+// Ahead returns the expected cost, in tokens, of the items that would be served before a
+// new item of a workspace and band: the workspace's own items, and those of each other
+// workspace that its fair share allows until the new item's start tag.
 func (q *Queue) Ahead(workspace string, weight int64, b Band) int64 {
-	turn := q.clock
+	turn := q.virtualTime
 	own := int64(0)
-	if s, known := q.spaces[workspace]; known {
-		turn = max(turn, s.tag)
-		own = s.tokens(b)
+	if w, known := q.workspaces[workspace]; known {
+		turn = max(turn, w.startTag)
+		own = w.tokensUpTo(b)
 	}
-	turn += cost(weight, own)
+	turn += virtualCost(weight, own)
 	ahead := own
-	for name, s := range q.spaces {
+	for name, w := range q.workspaces {
 		if name != workspace {
-			share := (turn - s.tag) * float64(s.weight)
-			ahead += max(0, min(s.tokens(b), int64(share)+1))
+			share := (turn - w.startTag) * float64(w.weight)
+			ahead += max(0, min(w.tokensUpTo(b), int64(share)+1))
 		}
 	}
 	return ahead
 }
 
-// tokens returns the expected cost of the waiting items up to a band.
-func (s *space) tokens(b Band) int64 {
+// tokensUpTo returns the expected cost of the waiting items of band b and the bands before.
+func (w *workspaceQueue) tokensUpTo(b Band) int64 {
 	total := int64(0)
 	for i := Interactive; i <= b; i++ {
-		total += s.cost[i]
+		total += w.bandTokens[i]
 	}
 	return total
 }
 
-// Adjust corrects a workspace's account once the true cost of a served item is known.
+// Adjust corrects a workspace's start tag once the actual cost of a served item is known.
+// weight must be that of the item.
 func (q *Queue) Adjust(workspace string, weight, expected, actual int64) {
-	s, known := q.spaces[workspace]
+	w, known := q.workspaces[workspace]
 	if !known {
 		return
 	}
-	s.tag += cost(weight, actual) - cost(weight, expected)
-	q.forgetIdle(s)
+	w.startTag += virtualCost(weight, actual) - virtualCost(weight, expected)
+	q.dropIdle(w)
 }
 
-// Remove takes out an item that nobody waits for any more.
+// Remove removes an item that is no longer wanted. It returns false if there is no such
+// item.
 func (q *Queue) Remove(id string) (Item, bool) {
 	removed := q.RemoveIf(func(it Item) bool { return it.ID == id })
 	if len(removed) == 0 {
@@ -259,24 +264,25 @@
 	return removed[0], true
 }
 
-// RemoveIf takes out the items that match, in order of arrival. It asks for them in
-// order of workspace, since what match tells may depend on what is left.
+// RemoveIf removes the items that match and returns them in order of arrival. It calls
+// match in order of workspace names, because the result of match may depend on the items
+// that are left.
 func (q *Queue) RemoveIf(match func(Item) bool) []Item {
 	var removed []Item
-	for _, s := range q.inOrder() {
-		for b := range s.items {
-			kept := s.items[b][:0]
-			for _, it := range s.items[b] {
+	for _, w := range q.sortedByName() {
+		for b := range w.items {
+			kept := w.items[b][:0]
+			for _, it := range w.items[b] {
 				if !match(it) {
 					kept = append(kept, it)
 					continue
 				}
 				removed = append(removed, it)
-				q.count(s, it, -1)
+				q.updateTotals(w, it, -1)
 			}
-			s.items[b] = kept
+			w.items[b] = kept
 		}
-		q.forgetIdle(s)
+		q.dropIdle(w)
 	}
 	sort.Slice(removed, func(i, j int) bool {
 		if !removed[i].Arrived.Equal(removed[j].Arrived) {
@@ -287,26 +293,29 @@
 	return removed
 }
 
-func (q *Queue) inOrder() []*space {
-	spaces := make([]*space, 0, len(q.spaces))
-	for _, s := range q.spaces {
-		spaces = append(spaces, s)
+// sortedByName returns the workspaces in order of name.
+func (q *Queue) sortedByName() []*workspaceQueue {
+	queues := make([]*workspaceQueue, 0, len(q.workspaces))
+	for _, w := range q.workspaces {
+		queues = append(queues, w)
 	}
-	sort.Slice(spaces, func(i, j int) bool { return spaces[i].name < spaces[j].name })
-	return spaces
+	sort.Slice(queues, func(i, j int) bool { return queues[i].name < queues[j].name })
+	return queues
 }
 
-// forgetIdle drops a workspace that waits for nothing and is owed nothing.
-func (q *Queue) forgetIdle(s *space) {
-	if s.empty() && s.tag <= q.clock {
-		delete(q.spaces, s.name)
+// dropIdle deletes a workspace that has no waiting items and whose start tag is not ahead
+// of the virtual time. One that is ahead is kept, as it has used more than its share.
+func (q *Queue) dropIdle(w *workspaceQueue) {
+	if w.empty() && w.startTag <= q.virtualTime {
+		delete(q.workspaces, w.name)
 	}
 }
 
-func (s *space) empty() bool {
-	return len(s.items[Interactive]) == 0 && len(s.items[ByDeadline]) == 0 && len(s.items[MustFinish]) == 0
+func (w *workspaceQueue) empty() bool {
+	return len(w.items[Interactive]) == 0 && len(w.items[ByDeadline]) == 0 && len(w.items[MustFinish]) == 0
 }
 
-func cost(weight, tokens int64) float64 {
+// virtualCost returns by how much an item of the given cost advances a start tag.
+func virtualCost(weight, tokens int64) float64 {
 	return float64(tokens) / float64(max(1, weight))
 }
--- a/coord/fair/speed.go
+++ b/coord/fair/speed.go
@@ -2,67 +2,70 @@
 
 import "time"
 
-// Speed measures how long work of one destination takes, from its start to its whole
-// answer, and how fast the destination works off what waits.
+// Speed measures the service time of work at one destination, from its start to its complete
+// answer, and the rate at which the destination drains its queue.
 type Speed struct {
-	mean   [Bands]time.Duration
-	dev    [Bands]time.Duration // moving mean of the distance from the mean
-	tokens float64              // moving mean of the expected tokens of a piece of work
-	gap    time.Duration        // moving mean of the time between ends while work waited
-	ended  time.Time
-	busy   bool // work waited at the newest end
+	mean             [Bands]time.Duration
+	deviation        [Bands]time.Duration // moving mean of the absolute difference from mean
+	meanTokens       float64              // moving mean of the expected tokens of one unit of work
+	meanGap          time.Duration        // moving mean of the time between completions while work waited
+	lastEnd          time.Time
+	waitingAtLastEnd bool // work waited at the last completion
 }
 
-// speedWeight is the weight of one measurement in a moving mean: an eighth, as for
-// round trips in RFC 6298, follows a change within some ten calls and not one outlier.
-const speedWeight = 8
+// smoothingDivisor is the reciprocal of the weight of one sample in a moving mean. 1/8, as
+// for the round-trip time in RFC 6298, follows a change within about ten calls and is not
+// dominated by one outlier.
+const smoothingDivisor = 8
 
-// Mean returns the moving mean of the time that work of a band takes; 0 before the
-// first measurement.
+// Mean returns the moving mean of the service time of a band, or 0 before the first
+// measurement.
 func (s *Speed) Mean(b Band) time.Duration { return s.mean[b] }
 
-// Margin returns the time to leave before a deadline for work that arrived with left
-// until then: the mean and twice the deviation, which nine of ten keep, but at most
-// half of what was left. Without the cap one slow spell would have all work refused, and
-// so never measured again.
+// Margin returns how long before its deadline work must start if left was the time to the
+// deadline when it arrived: the mean plus twice the deviation, which nine of ten meet, but
+// at most half of left. Without this cap one slow period would cause all work to be refused
+// and so never measured again.
 func (s *Speed) Margin(b Band, left time.Duration) time.Duration {
-	return min(s.bound(b), left/2)
+	return min(s.upperBound(b), left/2)
 }
 
-func (s *Speed) bound(b Band) time.Duration { return s.mean[b] + 2*s.dev[b] }
+// upperBound returns the service time that about nine of ten calls stay below.
+func (s *Speed) upperBound(b Band) time.Duration { return s.mean[b] + 2*s.deviation[b] }
 
-// Observe takes a measured time. It returns by how much the margin may have grown.
+// Observe records a measured service time. It returns the most by which Margin may have grown.
 func (s *Speed) Observe(b Band, took time.Duration) time.Duration {
-	before := s.bound(b)
+	before := s.upperBound(b)
 	if s.mean[b] == 0 {
-		s.mean[b], s.dev[b] = took, took/2
+		s.mean[b], s.deviation[b] = took, took/2
 	} else {
-		s.dev[b] += ((took - s.mean[b]).Abs() - s.dev[b]) / speedWeight
-		s.mean[b] += (took - s.mean[b]) / speedWeight
+		s.deviation[b] += ((took - s.mean[b]).Abs() - s.deviation[b]) / smoothingDivisor
+		s.mean[b] += (took - s.mean[b]) / smoothingDivisor
 	}
-	return max(0, s.bound(b)-before)
+	return max(0, s.upperBound(b)-before)
 }
 
-// End notes the end of a piece of work with its expected tokens. Waiting says that
-// others wait: only between two such ends does the gap measure the destination and
-// not the arrivals.
+// End records the completion of work with the given expected tokens. waiting reports whether
+// other work is waiting now. A gap counts only if work waited at its beginning: otherwise it
+// measures the arrivals and not the destination.
 func (s *Speed) End(now time.Time, tokens int64, waiting bool) {
-	if s.busy {
-		gap := now.Sub(s.ended)
-		if s.gap == 0 {
-			s.gap, s.tokens = gap, float64(tokens)
+	if s.waitingAtLastEnd {
+		gap := now.Sub(s.lastEnd)
+		if s.meanGap == 0 {
+			s.meanGap, s.meanTokens = gap, float64(tokens)
 		} else {
-			s.gap += (gap - s.gap) / speedWeight
-			s.tokens += (float64(tokens) - s.tokens) / speedWeight
+			s.meanGap += (gap - s.meanGap) / smoothingDivisor
+			s.meanTokens += (float64(tokens) - s.meanTokens) / smoothingDivisor
 		}
 	}
-	s.ended, s.busy = now, waiting
+	s.lastEnd, s.waitingAtLastEnd = now, waiting
 }
 
-// Drain returns the time in which tokens are worked off; 0 before it is measured.
+// Drain returns the estimated time to serve the given tokens, or 0 before the first
+// measurement.
 func (s *Speed) Drain(tokens int64) time.Duration {
-	if s.tokens <= 0 {
+	if s.meanTokens <= 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens) / s.tokens * float64(s.gap))
+	return time.Duration(float64(tokens) / s.meanTokens * float64(s.meanGap))
 }
