--- a/coord/workspace/account.go
+++ b/coord/workspace/account.go
@@ -7,163 +7,168 @@
 	"cowsliptiller/coord/fault"
 )
 
-// account is a holder's state of one workspace.
+// account is a holder's state for one workspace.
 type account struct {
-	limit        Limit
-	balance      int64 // unspent tokens
-	lapses       time.Time
-	share        int64     // most tokens ahead of need, by the owner's newest reply
-	excess       time.Time // when what is above the stock goes back
-	giveBack     int64     // tokens above the stock whose time is over
-	atSend       int64     // Holding of the message in flight
-	statedAtSend int64     // waitSum of the message in flight
-	unsaid       bool      // something to report since the newest message
-	spent        spendWindow
-	use          useRate
-	refunds      []Refund
-	waiting      []waiter
-	waitSum      int64
-	askAfter     time.Time     // earliest time to ask again for the waiting ones
-	hint         time.Duration // retry-after of the newest reply
-	answered     time.Time     // when a settled owner answered last
-	backlog      time.Duration // of all hosts, as the owner said at answered
-	room         time.Duration // by which the line of all hosts could grow then
-	stated       int64         // waitSum in the message that it answered
-}
-
-// waiter is a request that waits for tokens.
-type waiter struct {
-	id       string
-	tokens   int64
-	patience time.Time // end of its wait for a settled owner
-	until    time.Time // end of its wait for an owner
-}
-
-// mayWait reports whether a request can still be met in its time when no tokens arrive before
-// wait is over. What a settled owner does not grant within MaxWait is over the rate. Without
-// one, the request waits for it.
-func (a *account) mayWait(w waiter, now time.Time, wait time.Duration) bool {
-	if a.ownerKnows(now) {
-		return now.Add(wait).Before(w.patience)
+	limit          Limit
+	balance        int64 // unspent tokens
+	expires        time.Time
+	prefetchLimit  int64     // most tokens ahead of need, from the newest reply
+	excessExpires  time.Time // when the balance above Limit.maxPrefetch must be returned
+	expiredExcess  int64     // tokens to return because of excessExpires
+	balanceAtSend  int64     // balance in the message in flight
+	queuedAtSend   int64     // queuedTokens in the message in flight
+	unreported     bool      // charges or refunds since the newest message
+	spent          spendWindow
+	use            useRate
+	refunds        []Refund
+	queue          []queuedCall
+	queuedTokens   int64
+	nextAsk        time.Time     // earliest time of the next Draw for queued or prefetched tokens
+	retryAfter     time.Duration // from the newest reply
+	lastAnswer     time.Time     // time of the newest reply of an owner that is ready
+	backlog        time.Duration // of all hosts, as of lastAnswer
+	queueRoom      time.Duration // by which the queue of all hosts could grow, as of lastAnswer
+	queuedInReport int64         // queuedTokens in the message of that reply
+}
+
+// queuedCall is a request that waits for tokens.
+type queuedCall struct {
+	id            string
+	tokens        int64
+	grantDeadline time.Time // while an owner responds
+	ownerDeadline time.Time // while no owner is ready
+}
+
+// mayWait reports whether a request can still be served before its deadline if no tokens
+// arrive for the duration wait. A request that the owner does not serve within MaxWait is over
+// the rate; while no owner is ready, it waits longer.
+func (a *account) mayWait(q queuedCall, now time.Time, wait time.Duration) bool {
+	if a.ownerAnswers(now) {
+		return now.Add(wait).Before(q.grantDeadline)
 	}
-	return now.Add(wait).Before(w.until)
+	return now.Add(wait).Before(q.ownerDeadline)
 }
 
-// heard notes an answer of a settled owner. The wait of requests that had none begins anew: a
-// bucket whose last charges are unknown starts empty, and the backlog is met at the rate only.
-func (a *account) heard(now time.Time) {
-	if !a.ownerKnows(now) {
-		for i := range a.waiting {
-			a.waiting[i].patience = earlier(a.waiting[i].until, now.Add(AfterSilence))
+// noteAnswer records a reply of an owner that is ready. Requests queued without an owner get
+// a new deadline: a bucket whose recent charges are unknown starts empty, so that the backlog
+// is served at the rate only.
+func (a *account) noteAnswer(now time.Time) {
+	if !a.ownerAnswers(now) {
+		for i := range a.queue {
+			a.queue[i].grantDeadline = earlier(a.queue[i].ownerDeadline, now.Add(MaxWaitAfterRecovery))
 		}
 	}
-	a.answered = now
+	a.lastAnswer = now
 }
 
-// ahead returns how long the calls that wait at all hosts take at the rate, by the
-// owner's newest reply, the time since, and what has joined here meanwhile.
-func (a *account) ahead(now time.Time) time.Duration {
-	return max(0, a.backlog-now.Sub(a.answered)) + a.joined()
+// queueDelay estimates how long the queued calls of all hosts take at the rate, from the
+// owner's newest reply, the time since then, and the calls queued here meanwhile.
+func (a *account) queueDelay(now time.Time) time.Duration {
+	return max(0, a.backlog-now.Sub(a.lastAnswer)) + a.unreportedDelay()
 }
 
-// joined returns how long the calls take that were not stated to the owner.
-func (a *account) joined() time.Duration {
-	return a.limit.After(max(0, a.waitSum-a.stated))
+// unreportedDelay returns how long the queued calls that were not yet reported to the owner
+// take at the rate.
+func (a *account) unreportedDelay() time.Duration {
+	return a.limit.FillTime(max(0, a.queuedTokens-a.queuedInReport))
 }
 
-// mayJoin reports whether a further call may wait, by the owner's newest reply. A host without
-// a waiting call assumes that the queue has moved on since; behind a call that waits, others
-// may have joined as well. Without a settled owner every call may wait.
-func (a *account) mayJoin(now time.Time) bool {
-	room := a.room
-	if len(a.waiting) == 0 {
-		room += now.Sub(a.answered)
+// mayEnqueue reports whether the owner's newest reply allows another call to be queued. A host
+// without queued calls assumes that the fleet's queue has moved on since. Otherwise it does
+// not, as other hosts may have added calls too. While no owner is ready, every call may wait.
+func (a *account) mayEnqueue(now time.Time) bool {
+	room := a.queueRoom
+	if len(a.queue) == 0 {
+		room += now.Sub(a.lastAnswer)
 	}
-	return !a.ownerKnows(now) || a.joined() <= room
+	return !a.ownerAnswers(now) || a.unreportedDelay() <= room
 }
 
-func (a *account) ownerKnows(now time.Time) bool {
-	return now.Sub(a.answered) <= MaxWait
+// ownerAnswers reports whether an owner that is ready replied within MaxWait.
+func (a *account) ownerAnswers(now time.Time) bool {
+	return now.Sub(a.lastAnswer) <= MaxWait
 }
 
-// giveUp refuses the waiting requests whose time ends before more tokens can come.
-func (a *account) giveUp(ws string, now time.Time, wait time.Duration) []Outcome {
+// refuseLate refuses the queued requests whose deadline ends before more tokens can arrive,
+// which is after the duration wait.
+func (a *account) refuseLate(ws string, now time.Time, wait time.Duration) []Outcome {
 	var outcomes []Outcome
-	kept := a.waiting[:0]
-	for _, w := range a.waiting {
-		if a.mayWait(w, now, wait) {
-			kept = append(kept, w)
+	kept := a.queue[:0]
+	for _, q := range a.queue {
+		if a.mayWait(q, now, wait) {
+			kept = append(kept, q)
 			continue
 		}
-		a.waitSum -= w.tokens
-		outcomes = append(outcomes, Outcome{ID: w.id, Err: a.refusal(ws, now)})
+		a.queuedTokens -= q.tokens
+		outcomes = append(outcomes, Outcome{ID: q.id, Err: a.refusalError(ws, now)})
 	}
-	a.waiting = kept
+	a.queue = kept
 	return outcomes
 }
 
-// refuseAll refuses all waiting requests: the line is too long for them to join.
+// refuseAll refuses all queued requests because the queue of the fleet is too long.
 func (a *account) refuseAll(ws string, now time.Time) []Outcome {
-	outcomes := make([]Outcome, 0, len(a.waiting))
-	for _, w := range a.waiting {
-		outcomes = append(outcomes, Outcome{ID: w.id, Err: a.refusal(ws, now)})
+	outcomes := make([]Outcome, 0, len(a.queue))
+	for _, q := range a.queue {
+		outcomes = append(outcomes, Outcome{ID: q.id, Err: a.refusalError(ws, now)})
 	}
-	a.waiting, a.waitSum = a.waiting[:0], 0
+	a.queue, a.queuedTokens = a.queue[:0], 0
 	return outcomes
 }
 
-// expire drops a balance past its validity, and takes what is above the stock out of
-// it once the wait for the reply that brought it would be over: tokens come for
-// requests that wait, which are charged as the reply arrives. So a new owner can assume
-// that a holder it cannot ask has no more than its stock left then.
-func (a *account) expire(now time.Time) {
-	if a.balance > 0 && !now.Before(a.lapses) {
+// dropExpired drops a balance whose grant has expired. It also removes what exceeds the
+// prefetch limit once ReplyTimeout has passed since the Draw: the excess was granted for
+// queued requests, which are charged as soon as the reply arrives. A new owner can therefore
+// assume that an unreachable holder has at most its prefetched tokens left after that time.
+func (a *account) dropExpired(now time.Time) {
+	if a.balance > 0 && !now.Before(a.expires) {
 		a.balance = 0
 	}
-	if over := a.balance - a.limit.stock(); over > 0 && !now.Before(a.excess) {
+	if over := a.balance - a.limit.maxPrefetch(); over > 0 && !now.Before(a.excessExpires) {
 		a.balance -= over
-		a.giveBack += over
+		a.expiredExcess += over
 	}
 }
 
-// needsRefill reports whether the stock is below half of what the host may hold ahead of
-// need. Without the owner's share, hosts of a large fleet, whose share is less than a call,
-// would ask for more with every poll.
-func (a *account) needsRefill(now time.Time) bool {
-	byUse := int64(float64(a.use.perSecond(now)) * aheadHorizon.Seconds())
-	return a.balance < min(byUse, a.share)/2
+// needsPrefetch reports whether the balance is below half of what the host may keep ahead of
+// need. It takes the owner's limit into account: in a large fleet the limit is less than one
+// call, and hosts would otherwise ask for more tokens with every poll.
+func (a *account) needsPrefetch(now time.Time) bool {
+	byUse := int64(float64(a.use.perSecond(now)) * prefetchHorizon.Seconds())
+	return a.balance < min(byUse, a.prefetchLimit)/2
 }
 
-// join lets a request wait: in order, but a small one first where none waits first.
-func (a *account) join(w waiter) {
-	at := len(a.waiting)
-	if a.goesFirst(w.tokens) {
-		at, a.askAfter = 0, time.Time{} // which was when the call behind it can be met
+// enqueue appends a request to the queue. A small one goes to the front unless another small
+// one is there.
+func (a *account) enqueue(q queuedCall) {
+	at := len(a.queue)
+	if a.bypassesQueue(q.tokens) {
+		at, a.nextAsk = 0, time.Time{} // nextAsk applied to the call that is now second
 	}
-	a.waiting = slices.Insert(a.waiting, at, w)
-	a.waitSum += w.tokens
+	a.queue = slices.Insert(a.queue, at, q)
+	a.queuedTokens += q.tokens
 }
 
-// goesFirst reports whether a call may wait before the others and whatever the line.
-// One at a time: of a flood of small calls the rest is queued like all others.
-func (a *account) goesFirst(tokens int64) bool {
-	return a.limit.small(tokens) && (len(a.waiting) == 0 || !a.limit.small(a.waiting[0].tokens))
+// bypassesQueue reports whether a call may go to the front of the queue, however long that is.
+// Only one small call may do so at a time; in a flood of them, the rest is queued as usual.
+func (a *account) bypassesQueue(tokens int64) bool {
+	return a.limit.isSmall(tokens) && (len(a.queue) == 0 || !a.limit.isSmall(a.queue[0].tokens))
 }
 
-func (a *account) pop() waiter {
-	w := a.waiting[0]
-	a.waiting = a.waiting[1:]
-	a.waitSum -= w.tokens
-	return w
+func (a *account) pop() queuedCall {
+	q := a.queue[0]
+	a.queue = a.queue[1:]
+	a.queuedTokens -= q.tokens
+	return q
 }
 
-// refusal is the answer to a request that got no tokens: over its rate if the owner
-// said so lately, else no owner could be asked.
-func (a *account) refusal(ws string, now time.Time) error {
-	if !a.ownerKnows(now) {
+// refusalError returns the error for a request that got no tokens: fault.RateLimited if an
+// owner replied recently, else fault.NoQuorum.
+func (a *account) refusalError(ws string, now time.Time) error {
+	if !a.ownerAnswers(now) {
 		return fault.New(fault.NoQuorum, "the owner of the rate of workspace %s does not answer", ws)
 	}
-	return fault.After(fault.RateLimited, max(a.hint, a.ahead(now), time.Millisecond), "workspace %s is over its rate", ws)
+	return fault.After(fault.RateLimited, max(a.retryAfter, a.queueDelay(now), time.Millisecond), "workspace %s is over its rate", ws)
 }
 
 func (a *account) addRefund(r Refund) {
@@ -183,7 +188,7 @@
 			oldest = i
 		}
 	}
-	// Merging under the lesser sequence never makes a refund larger.
+	// Merging under the smaller sequence can only make the refund smaller.
 	a.refunds[oldest].Tokens += r.Tokens
 	a.refunds[oldest].Charged = min(a.refunds[oldest].Charged, r.Charged)
 }
--- a/coord/workspace/bucket.go
+++ b/coord/workspace/bucket.go
@@ -2,101 +2,95 @@
 
 import "time"
 
-// Load pattern: a workspace whose calls come in at many entry hosts, some of them
-// in bursts up to its whole allowance, and which reserve far more than they use.
-//
-// Without this file's rules: a plain bucket refills while granted tokens lie unspent
-// at the hosts, and those hosts can then spend the old grants and a full bucket
-// together, twice the burst in one moment. A plain refund adds tokens that the bucket
-// had no room for when they were charged, with the same effect.
-//
-// The rules: refill stops when what is free and what is granted out reach the burst
-// together, and a refund counts for at most the least room that the bucket has had
-// since the charge: that is the level it would have now had the charge been smaller.
+// Load pattern: calls of one workspace arrive at many hosts, in bursts, and reserve more than they use.
+// Without it: hosts spend old grants and a refilled bucket together, twice the burst at once;
+// a refund of tokens that the bucket had no headroom for since the charge has the same effect.
+// Rule: a refill stops when free plus granted tokens reach the burst; a refund is capped at the
+// minimum headroom since the charge, which gives the level that a smaller charge would have left.
 
 // maxRefill bounds one refill so that rate x microseconds cannot overflow.
 const maxRefill = time.Hour
 
-// bucket is the allowance of one workspace, in micro-tokens.
+// bucket is the token bucket of one workspace, in micro-tokens.
 type bucket struct {
-	limit     Limit
-	free      int64 // not granted
-	out       int64 // granted and not known to be spent
-	filled    time.Time
-	step      int64 // counts bookings; orders the history of room
-	room      roomHistory
-	line      line     // who waits for it
-	small     passLane // for those that need not
-	usualCall int64    // mean size of the calls that wait, in tokens
+	limit      Limit
+	free       int64 // not granted to any host
+	granted    int64 // granted to hosts and not known to be spent
+	lastRefill time.Time
+	step       int64 // counts the applied reports; orders the headroom history
+	headroom   headroomHistory
+	queue      hostQueue    // hosts that wait for tokens
+	bypass     bypassBudget // for small calls, which need not wait
+	meanCall   int64        // moving average of the size of queued calls, in whole tokens
 }
 
 func newBucket(l Limit, free int64, now time.Time) *bucket {
-	b := &bucket{limit: l, free: free * microPerToken, filled: now}
-	b.note()
+	b := &bucket{limit: l, free: free * microPerToken, lastRefill: now}
+	b.recordHeadroom()
 	return b
 }
 
-func (b *bucket) note() {
-	b.room.note(b.step, b.roomNow())
+func (b *bucket) recordHeadroom() {
+	b.headroom.add(b.step, b.currentHeadroom())
 }
 
-func (b *bucket) roomNow() int64 {
-	return b.limit.Burst*microPerToken - b.free - b.out
+func (b *bucket) currentHeadroom() int64 {
+	return b.limit.Burst*microPerToken - b.free - b.granted
 }
 
-// refill adds what has flowed in since the last call.
+// refill adds the tokens that accrued since the last refill.
 func (b *bucket) refill(now time.Time) {
-	elapsed := now.Sub(b.filled)
+	elapsed := now.Sub(b.lastRefill)
 	if elapsed <= 0 {
 		return
 	}
 	micros := min(elapsed, maxRefill).Microseconds()
-	b.filled = now.Add(-(elapsed % time.Microsecond))
-	b.free += max(0, min(b.limit.Rate*micros, b.roomNow()))
-	b.note()
+	b.lastRefill = now.Add(-(elapsed % time.Microsecond))
+	b.free += max(0, min(b.limit.Rate*micros, b.currentHeadroom()))
+	b.recordHeadroom()
 }
 
-// tokens returns the whole tokens that are free.
-func (b *bucket) tokens() int64 {
+// freeTokens returns the free tokens, rounded down to whole ones.
+func (b *bucket) freeTokens() int64 {
 	return b.free / microPerToken
 }
 
 // grant moves tokens from free to granted.
 func (b *bucket) grant(tokens int64) {
 	b.free -= tokens * microPerToken
-	b.out += tokens * microPerToken
+	b.granted += tokens * microPerToken
 }
 
-// takeBack moves tokens that were granted and not spent back to free.
+// takeBack moves unspent tokens from granted back to free.
 func (b *bucket) takeBack(tokens int64) {
 	b.free += tokens * microPerToken
-	b.out -= tokens * microPerToken
+	b.granted -= tokens * microPerToken
 }
 
-// spend notes that granted tokens are spent, or may be.
+// spend removes granted tokens that were spent or may have been.
 func (b *bucket) spend(tokens int64) {
-	b.out -= tokens * microPerToken
+	b.granted -= tokens * microPerToken
 }
 
-// mark ends a step and returns the one that follows what was booked so far.
-func (b *bucket) mark() int64 {
+// nextStep begins a new step, after all updates so far, and returns it.
+func (b *bucket) nextStep() int64 {
 	b.step++
 	return b.step
 }
 
-// refund gives back tokens that were spent just before the step since and not used.
+// refund returns unused tokens of a charge that was applied just before the step since.
 func (b *bucket) refund(tokens, since int64) {
-	credit := max(0, min(tokens*microPerToken, b.room.least(since), b.roomNow()))
+	credit := max(0, min(tokens*microPerToken, b.headroom.minSince(since), b.currentHeadroom()))
 	b.free += credit
-	b.room.lower(since, credit)
-	b.note()
+	b.headroom.lowerSince(since, credit)
+	b.recordHeadroom()
 }
 
-// configure changes the limit. What was granted stays granted.
+// configure changes the limit. Granted tokens stay granted.
 func (b *bucket) configure(l Limit, now time.Time) {
 	b.refill(now)
-	b.room.raise((l.Burst - b.limit.Burst) * microPerToken)
+	b.headroom.raise((l.Burst - b.limit.Burst) * microPerToken)
 	b.limit = l
-	b.free = max(0, min(b.free, l.Burst*microPerToken-b.out))
-	b.note()
+	b.free = max(0, min(b.free, l.Burst*microPerToken-b.granted))
+	b.recordHeadroom()
 }
--- a/coord/workspace/charge.go
+++ b/coord/workspace/charge.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// Charge is a request's charge against its workspace. Its fields are the holder's.
+// Charge is a request's charge against its workspace. The unexported fields are valid only
+// for the holder that returned it.
 type Charge struct {
 	Workspace string
 	Tokens    int64
-	sequence  uint64 // of the message that reports it first
-	slot      int64  // of the spend window
+	sequence  uint64 // of the first Draw that reports it
+	slot      int64  // index of its slot in the spend window
 }
 
-// Outcome is the final word on a request that waited for tokens.
+// Outcome is the final result of a request that waited for tokens.
 type Outcome struct {
 	ID     string
-	Charge Charge // when Err is nil
-	Err    error  // fault.RateLimited with a retry-after, or nil
+	Charge Charge // valid if Err is nil
+	Err    error  // fault.RateLimited with a retry-after, fault.NoQuorum, or nil
 }
 
-// spendWindow sums what was charged less what was refunded in the last window.
+// spendWindow is the sliding sum of charges less refunds over the last window.
 type spendWindow struct {
-	slot  time.Duration
-	sums  [windowSlots + 1]int64
-	first int64 // number of the oldest slot that counts
+	slotLength time.Duration
+	sums       [windowSlots + 1]int64
+	firstSlot  int64 // index of the oldest slot in the sum
 }
 
-// windowSlots is the resolution of a window. One more slot is kept, so that the sum
-// covers the window whole at any time.
+// windowSlots is the resolution of a window. The sum has one slot more, so that it always
+// covers the whole window while the current slot is filling.
 const windowSlots = 32
 
 func newSpendWindow(window time.Duration) spendWindow {
-	return spendWindow{slot: max(time.Millisecond, window/windowSlots+1)}
+	return spendWindow{slotLength: max(time.Millisecond, window/windowSlots+1)}
 }
 
-// advance drops the slots that are past at uptime and returns the present one.
+// advance drops the slots that are outdated at uptime and returns the current one.
 func (w *spendWindow) advance(uptime time.Duration) int64 {
-	n := int64(uptime / w.slot)
-	if n-w.first > 2*windowSlots {
+	n := int64(uptime / w.slotLength)
+	if n-w.firstSlot > 2*windowSlots {
 		w.sums = [windowSlots + 1]int64{}
-		w.first = n - windowSlots
+		w.firstSlot = n - windowSlots
 	}
-	for ; w.first < n-windowSlots; w.first++ {
-		w.sums[w.first%(windowSlots+1)] = 0
+	for ; w.firstSlot < n-windowSlots; w.firstSlot++ {
+		w.sums[w.firstSlot%(windowSlots+1)] = 0
 	}
 	return n
 }
@@ -51,16 +52,16 @@
 	return n
 }
 
-// refund takes tokens from the slot in which they were charged, if it still counts.
+// refund subtracts tokens from the slot of their charge, if that is still in the window.
 func (w *spendWindow) refund(slot, tokens int64) {
-	if slot >= w.first {
+	if slot >= w.firstSlot {
 		w.sums[slot%(windowSlots+1)] -= tokens
 	}
 }
 
-// sumIfAny is sum for a window that may not have been set up.
-func (w *spendWindow) sumIfAny(uptime time.Duration) int64 {
-	if w.slot == 0 {
+// sumOrZero returns the sum, or 0 for the zero value of spendWindow.
+func (w *spendWindow) sumOrZero(uptime time.Duration) int64 {
+	if w.slotLength == 0 {
 		return 0
 	}
 	return w.sum(uptime)
--- a/coord/workspace/doc.go
+++ b/coord/workspace/doc.go
@@ -1,14 +1,14 @@
-// Package workspace is the aggregate of one workspace: its rate and burst in tokens
-// over the whole fleet.
+// Package workspace implements distributed token-bucket rate limiting: it enforces the
+// rate and burst of each workspace, in tokens, across the whole fleet.
 //
-// One Owner, on the control leader, keeps the bucket of each workspace. A Holder on
-// each entry host draws small grants from it, charges requests against them, and
-// returns what it does not use. The wire between them is rpc.DrawRequest and
-// rpc.DrawResponse, which have the shape of Draw and Reply.
+// A single Owner, on the control leader, keeps the bucket of each workspace. A Holder on
+// each entry host obtains small grants from it, charges requests against them and returns
+// unused tokens. They exchange rpc.DrawRequest and rpc.DrawResponse, which correspond to
+// Draw and Reply.
 //
-// The bound that all rules here serve: the tokens charged in any window, over all
-// hosts and less what was refunded, are at most rate x window + burst.
+// Invariant: in any time window, the tokens charged on all hosts, less refunds, are at
+// most rate x window + burst.
 //
-// Owner and Holder hold plain data and no lock. Whoever shares one between
-// goroutines puts one mutex around it, and takes no other lock under that mutex.
+// Owner and Holder do no locking. Callers that share one between goroutines must guard it
+// with one mutex, and must take no other lock while they hold that mutex.
 package workspace
--- a/coord/workspace/grant.go
+++ b/coord/workspace/grant.go
@@ -5,140 +5,143 @@
 	"time"
 )
 
-// lapse takes grants past their validity for spent, each at the time when it lapsed:
-// whether they were is not known.
-func (o *Owner) lapse(now time.Time) {
-	if now.Sub(o.scanned) < scanEvery {
+// expireGrants counts expired grants as spent, each at the time of its expiry: it is not known
+// whether they were. It also counts the active hosts and deletes old host records.
+func (o *Owner) expireGrants(now time.Time) {
+	if now.Sub(o.lastScan) < scanInterval {
 		return
 	}
-	o.scanned = now
-	for _, l := range o.lapsed(now) {
-		if b, known := o.buckets[l.workspace]; known {
-			b.refill(l.holding.lapses)
-			b.spend(l.holding.tokens)
+	o.lastScan = now
+	for _, e := range o.expiredHoldings(now) {
+		if b, known := o.buckets[e.workspace]; known {
+			b.refill(e.holding.expires)
+			b.spend(e.holding.tokens)
 		}
-		l.holding.tokens, l.holding.granted = 0, 0
+		e.holding.tokens, e.holding.granted = 0, 0
 	}
 	o.activeHosts = 0
 	for key, r := range o.hosts {
-		if now.Sub(r.seen) <= activeFor {
+		if now.Sub(r.seen) <= activeHostTimeout {
 			o.activeHosts++
 		}
-		if now.Sub(r.seen) > forgetAfter {
+		if now.Sub(r.seen) > hostRecordTTL {
 			delete(o.hosts, key)
 		}
 	}
 }
 
-type lapsedHolding struct {
+type expiredHolding struct {
 	workspace string
 	holding   *holding
 }
 
-// lapsed returns the holdings past their validity in the order in which they lapsed.
-func (o *Owner) lapsed(now time.Time) []lapsedHolding {
-	var all []lapsedHolding
+// expiredHoldings returns the expired holdings in order of expiry.
+func (o *Owner) expiredHoldings(now time.Time) []expiredHolding {
+	var all []expiredHolding
 	for _, r := range o.hosts {
 		for ws, h := range r.held {
-			if h.tokens > 0 && !now.Before(h.lapses) {
-				all = append(all, lapsedHolding{ws, h})
+			if h.tokens > 0 && !now.Before(h.expires) {
+				all = append(all, expiredHolding{ws, h})
 			}
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].holding.lapses.Before(all[j].holding.lapses) })
+	sort.Slice(all, func(i, j int) bool { return all[i].holding.expires.Before(all[j].holding.expires) })
 	return all
 }
 
-// answer grants what the buckets allow.
-func (o *Owner) answer(d *Draw, r *hostRecord, now time.Time) *Reply {
+// makeReply grants what the buckets allow and returns the reply.
+func (o *Owner) makeReply(d *Draw, r *hostRecord, now time.Time) *Reply {
 	reply := &Reply{Epoch: o.epoch, Sequence: d.Sequence}
 	active := max(1, o.activeHosts)
 	for _, item := range d.Items {
 		h := r.holding(item.Workspace)
-		g := Grant{Workspace: item.Workspace, Keep: h.tokens, Valid: Validity}
+		g := Grant{Workspace: item.Workspace, Keep: h.tokens, Valid: GrantTTL}
 		b, known := o.buckets[item.Workspace]
 		switch {
-		case !known && o.settle != nil:
-			g.RetryAfter, g.Unsettled = settleRetry, true
+		case !known && o.recovery != nil:
+			g.RetryAfter, g.Unsettled = recoveryRetryAfter, true
 		case !known:
-			g.RetryAfter, g.Unsettled = Validity, true
+			g.RetryAfter, g.Unsettled = GrantTTL, true
 		default:
-			b.line.prune(now)
-			longest := o.longestLine(b, now)
-			b.serve(&g, item, place{host: d.From, need: item.Need, want: item.Want, seen: now}, longest, active)
+			b.queue.removeStale(now)
+			longest := o.maxQueueDelay(b, now)
+			b.serve(&g, item, queueEntry{host: d.From, need: item.Need, want: item.Want, seen: now}, longest, active)
 			b.grant(g.Tokens)
-			g.Share = b.limit.share(active)
+			g.Share = b.limit.prefetchPerHost(active)
 			g.Backlog = b.backlog()
-			g.Room = b.line.room(longest + b.spare())
+			g.Room = b.queue.roomPerHost(longest + b.spareTime())
 			h.tokens += g.Tokens
 			h.granted = g.Tokens
 		}
-		h.lapses = now.Add(Validity + validityMargin)
+		h.expires = now.Add(GrantTTL + grantTTLMargin)
 		reply.Grants = append(reply.Grants, g)
 	}
 	return reply
 }
 
-// longestLine returns how long the queue may be for one more host to join it. Calls that queued
-// up without an owner are met late and not refused: they may be inside the rate.
-func (o *Owner) longestLine(b *bucket, now time.Time) time.Duration {
-	if now.Sub(o.settled) < AfterSilence {
-		return AfterSilence
+// maxQueueDelay returns the longest queue, as a delay, that one more host may join. Calls that
+// were queued while there was no owner are served late rather than refused, since they may be
+// inside the rate.
+func (o *Owner) maxQueueDelay(b *bucket, now time.Time) time.Duration {
+	if now.Sub(o.recovered) < MaxWaitAfterRecovery {
+		return MaxWaitAfterRecovery
 	}
-	return b.longestLine()
+	return b.maxQueueDelay()
 }
 
-// serve decides one grant: all of Need or nothing, more of Want as far as its turn and
-// the tokens go, and where nobody waits a stock ahead of need by recent use. A host that
-// was not met in full is queued from then on, unless the queue is longer than longest.
-func (b *bucket) serve(g *Grant, item DrawItem, p place, longest time.Duration, active int64) {
-	if b.passes(p) {
-		b.pass(g, p)
+// serve decides one grant: all of Need or nothing, more of Want as far as the host's
+// reservation and the free tokens go, and tokens ahead of need if no host waits. A host that is
+// not served in full joins the queue, unless that is longer than longest.
+func (b *bucket) serve(g *Grant, item DrawItem, e queueEntry, longest time.Duration, active int64) {
+	if b.mayBypass(e) {
+		b.grantBypass(g, e)
 		return
 	}
-	left := b.tokens() - b.line.ahead(p.host)
+	left := b.freeTokens() - b.queue.reservedBefore(e.host)
 	free := max(0, left)
 	b.noteCall(item.Need)
 	if item.Need > free {
-		g.RetryAfter = b.limit.After(item.Need - left)
-		g.LineFull = !b.line.has(p.host) && b.backlog() > longest
+		g.RetryAfter = b.limit.FillTime(item.Need - left)
+		g.LineFull = !b.queue.has(e.host) && b.backlog() > longest
 		if !g.LineFull {
-			b.line.stand(p)
+			b.queue.enqueue(e)
 		}
 		return
 	}
-	turn := b.line.turn(p)
-	g.Tokens = min(free, max(item.Need, min(item.Want, turn)))
-	b.line.served(p, g.Tokens, turn)
-	if len(b.line.places) == 0 {
-		g.Tokens += b.ahead(item, g.Tokens, g.Keep, active)
+	reserved := b.queue.reservedFor(e)
+	g.Tokens = min(free, max(item.Need, min(item.Want, reserved)))
+	b.queue.noteGrant(e, g.Tokens, reserved)
+	if len(b.queue.entries) == 0 {
+		g.Tokens += b.prefetch(item, g.Tokens, g.Keep, active)
 	}
 }
 
-// ahead returns the stock that a host gets beyond the tokens for its waiting calls.
-func (b *bucket) ahead(item DrawItem, tokens, held, active int64) int64 {
-	byUse := int64(float64(item.UsePerSecond) * aheadHorizon.Seconds())
-	ahead := min(byUse, b.limit.share(active))
+// prefetch returns the tokens that a host is granted ahead of need, beyond those for its
+// queued calls, according to its recent use.
+func (b *bucket) prefetch(item DrawItem, tokens, held, active int64) int64 {
+	byUse := int64(float64(item.UsePerSecond) * prefetchHorizon.Seconds())
+	ahead := min(byUse, b.limit.prefetchPerHost(active))
 	if item.Want == 0 {
-		ahead -= held // else the waiting requests use up what is held
+		ahead -= held // otherwise the queued requests use up the held tokens
 	}
-	left := (b.tokens() - tokens) / active
+	left := (b.freeTokens() - tokens) / active
 	return max(0, min(ahead, left))
 }
 
-// spare returns the time in which the tokens flow in that are free beyond what all hosts
-// wait for; below zero where those are more. A burst inside the allowance may come in at
-// one host while its first call is under way to the owner: it may grow the line by all that
-// is free.
-func (b *bucket) spare() time.Duration {
-	free := b.tokens() - b.line.wants()
+// spareTime returns the free tokens beyond those that all hosts wait for, as the time in which
+// the rate yields them. It is negative if the hosts wait for more than is free. A burst inside
+// the limit may arrive at one host while its first call is on its way to the owner, so the
+// queue may grow by all free tokens.
+func (b *bucket) spareTime() time.Duration {
+	free := b.freeTokens() - b.queue.wanted()
 	if free < 0 {
-		return -b.limit.After(-free)
+		return -b.limit.FillTime(-free)
 	}
-	return b.limit.After(free)
+	return b.limit.FillTime(free)
 }
 
-// backlog returns the time in which the tokens flow in that all hosts wait for.
+// backlog returns the time in which the rate yields the tokens that all hosts wait for, less
+// the free ones.
 func (b *bucket) backlog() time.Duration {
-	return b.limit.After(b.line.wants() - b.tokens())
+	return b.limit.FillTime(b.queue.wanted() - b.freeTokens())
 }
--- a/coord/workspace/limit.go
+++ b/coord/workspace/limit.go
@@ -6,17 +6,17 @@
 	"cowsliptiller/coord/config"
 )
 
-// microPerToken is the resolution of a bucket: rate x elapsed microseconds is then
-// an integer, so that a bucket neither gains nor loses by rounding.
+// microPerToken is the resolution of a bucket. With micro-tokens, rate x elapsed
+// microseconds is an integer, so refills have no rounding error.
 const microPerToken = 1_000_000
 
-// Limit is what a workspace may use.
+// Limit is the token rate limit of a workspace.
 type Limit struct {
-	Rate  int64 // tokens a second, above 0
+	Rate  int64 // tokens per second, above 0
 	Burst int64 // tokens, above 0
 }
 
-// LimitOf returns the limit that the configuration gives a workspace.
+// LimitOf returns the limit in a workspace's configuration.
 func LimitOf(w config.WorkspaceSpec) Limit {
 	return Limit{Rate: w.Rate, Burst: w.Burst}
 }
@@ -30,37 +30,38 @@
 	return limits
 }
 
-// Window is the time in which an empty bucket fills: burst/rate. What was charged
-// before the last Window has no effect on the level now.
+// Window returns the time in which an empty bucket fills: burst/rate. Charges older than
+// one window have no effect on the current level.
 func (l Limit) Window() time.Duration {
 	return time.Duration(float64(l.Burst) / float64(l.Rate) * float64(time.Second))
 }
 
-// stock is the most that one holder keeps ahead of need.
-func (l Limit) stock() int64 {
-	return l.Burst / aheadShare
+// maxPrefetch returns the most tokens that one holder may keep ahead of need.
+func (l Limit) maxPrefetch() int64 {
+	return l.Burst / prefetchDivisor
 }
 
-// share is the most that one of so many active hosts keeps ahead of need.
-func (l Limit) share(active int64) int64 {
-	return l.stock() / active
+// prefetchPerHost returns the most tokens that a host may keep ahead of need while the
+// given number of hosts is active.
+func (l Limit) prefetchPerHost(active int64) int64 {
+	return l.maxPrefetch() / active
 }
 
-// small reports whether a call is small beside the workspace's allowance.
-func (l Limit) small(tokens int64) bool {
-	return tokens <= l.Burst/smallShare
+// isSmall reports whether a call is small relative to the burst.
+func (l Limit) isSmall(tokens int64) bool {
+	return tokens <= l.Burst/smallCallDivisor
 }
 
-// in returns the tokens that flow in within a time, at most the burst.
-func (l Limit) in(d time.Duration) int64 {
+// tokensIn returns the tokens that the rate yields in a duration, capped at the burst.
+func (l Limit) tokensIn(d time.Duration) int64 {
 	if d >= l.Window() {
 		return l.Burst
 	}
 	return int64(float64(l.Rate) * max(0, d.Seconds()))
 }
 
-// After returns the time in which tokens flow in.
-func (l Limit) After(tokens int64) time.Duration {
+// FillTime returns the time in which the rate yields a number of tokens.
+func (l Limit) FillTime(tokens int64) time.Duration {
 	if tokens <= 0 {
 		return 0
 	}
--- a/coord/workspace/line.go
+++ b/coord/workspace/line.go
@@ -5,162 +5,158 @@
 	"time"
 )
 
-// Load pattern: one workspace sends several times its rate through many entry hosts
-// for seconds, in calls of different sizes.
-//
-// Without it: large calls starve, since smaller ones take the tokens before enough have
-// accumulated, and all calls are served or refused as late as they may wait.
-// Rule: hosts whose first waiting call was not met are queued in the order of their requests.
-// The owner reports how long the queue takes at the rate, and a holder refuses further calls
-// once that is too long. Small calls bypass the queue: see small.go.
+// Load pattern: a workspace sends several times its rate through many hosts, in calls of different sizes.
+// Without it: large calls starve, as smaller ones take the tokens before enough have accrued,
+// and every call waits for the maximum time before it is served or refused.
+// Rule: the owner queues hosts in the order of their unmet requests and reports the queue's delay
+// at the rate; a holder refuses further calls once that is too long. Small calls bypass the queue.
 
 const (
-	// MaxBacklog bounds the queue that a further call may join, as the time in which its
-	// tokens flow in: a small part of a stream's latency objective.
-	MaxBacklog = 100 * time.Millisecond
-	// lineCalls of the usual size may join in any case: at a low rate one of them takes
-	// longer than MaxBacklog by itself.
-	lineCalls = 3
-	// lineShare bounds the queue by the bucket's window divided by it. Tokens that other
-	// hosts hold come back within that time.
-	lineShare = 16
-	// placeValidity is how long an unreachable host keeps its place. A host whose calls
-	// wait asks again sooner.
-	placeValidity = MaxWait
+	// MaxQueueDelay is the longest queue that a further call may join, as the time in which
+	// the rate yields its tokens: a small part of a stream's latency objective.
+	MaxQueueDelay = 100 * time.Millisecond
+	// minQueuedCalls is the number of average calls that may queue in any case: at a low rate
+	// a single one takes longer than MaxQueueDelay.
+	minQueuedCalls = 3
+	// queueWindowDivisor limits the queue to window/queueWindowDivisor of the bucket. Tokens
+	// that other hosts hold are returned within that time.
+	queueWindowDivisor = 16
+	// queueEntryTTL is how long an unreachable host stays in the queue. A reachable host
+	// with queued calls sends its next Draw sooner.
+	queueEntryTTL = MaxWait
 )
 
-// line is the hosts whose calls wait for tokens of one workspace, in order.
-type line struct {
-	places []place
+// hostQueue is the FIFO queue of hosts whose calls wait for tokens of one workspace.
+type hostQueue struct {
+	entries []queueEntry
 }
 
-// place is one host's waiting calls, in tokens.
-type place struct {
-	host HostKey
-	need int64 // of its first waiting call
-	want int64 // of all its waiting calls
-	turn int64 // of those that waited when it took the place; kept free for it
-	seen time.Time
+// queueEntry is one host's queued calls, in tokens.
+type queueEntry struct {
+	host     HostKey
+	need     int64 // of its first queued call
+	want     int64 // of all its queued calls
+	reserved int64 // of the calls queued when the host joined; kept free for it
+	seen     time.Time
 }
 
-func (l *line) find(host HostKey) int {
-	return slices.IndexFunc(l.places, func(p place) bool { return p.host == host })
+func (q *hostQueue) find(host HostKey) int {
+	return slices.IndexFunc(q.entries, func(e queueEntry) bool { return e.host == host })
 }
 
-func (l *line) has(host HostKey) bool {
-	return l.find(host) >= 0
+func (q *hostQueue) has(host HostKey) bool {
+	return q.find(host) >= 0
 }
 
-// stand gives a host a place at the end, or updates the one that it has. Calls that
-// joined later do not come before those of hosts behind it.
-func (l *line) stand(p place) {
-	if i := l.find(p.host); i >= 0 {
-		p.turn = l.places[i].turn
-		l.places[i] = p
+// enqueue appends a host or updates its entry. An update does not raise the reservation:
+// calls that were queued later must not overtake those of the hosts behind this one.
+func (q *hostQueue) enqueue(e queueEntry) {
+	if i := q.find(e.host); i >= 0 {
+		e.reserved = q.entries[i].reserved
+		q.entries[i] = e
 		return
 	}
-	p.turn = p.want
-	l.places = append(l.places, p)
+	e.reserved = e.want
+	q.entries = append(q.entries, e)
 }
 
-// turn returns the tokens that a host may have before those behind it.
-func (l *line) turn(p place) int64 {
-	if i := l.find(p.host); i >= 0 {
-		return l.places[i].turn
+// reservedFor returns the tokens that a host may take before the hosts behind it.
+func (q *hostQueue) reservedFor(e queueEntry) int64 {
+	if i := q.find(e.host); i >= 0 {
+		return q.entries[i].reserved
 	}
-	return p.want
+	return e.want
 }
 
-// served takes what a host was granted off its place. What it still waits for keeps
-// the place as far as its turn goes, and is queued at the end otherwise.
-func (l *line) served(p place, tokens, turn int64) {
-	p.want -= tokens
-	p.need = 0 // of its next call, which it says when it asks again
-	if p.want <= 0 {
-		l.leave(p.host)
+// noteGrant subtracts a grant from a host's entry. While part of the reservation is left,
+// the entry keeps its position; otherwise the remaining calls move to the end of the queue.
+func (q *hostQueue) noteGrant(e queueEntry, tokens, reserved int64) {
+	e.want -= tokens
+	e.need = 0 // the need of the next call comes with the host's next Draw
+	if e.want <= 0 {
+		q.remove(e.host)
 		return
 	}
-	if turn <= tokens {
-		l.leave(p.host)
-		l.stand(p)
+	if reserved <= tokens {
+		q.remove(e.host)
+		q.enqueue(e)
 		return
 	}
-	l.stand(p)
-	l.places[l.find(p.host)].turn = turn - tokens
+	q.enqueue(e)
+	q.entries[q.find(e.host)].reserved = reserved - tokens
 }
 
-// passed takes a small call that went before the line off its host's place.
-func (l *line) passed(p place) {
-	i := l.find(p.host)
+// noteBypass subtracts a small call that bypassed the queue from its host's entry.
+func (q *hostQueue) noteBypass(e queueEntry) {
+	i := q.find(e.host)
 	if i < 0 {
 		return
 	}
-	if p.want <= p.need {
-		l.leave(p.host)
+	if e.want <= e.need {
+		q.remove(e.host)
 		return
 	}
-	l.places[i].want = p.want - p.need
-	l.places[i].need = 0 // of its next call, which it says when it asks again
-	l.places[i].seen = p.seen
+	q.entries[i].want = e.want - e.need
+	q.entries[i].need = 0 // the need of the next call comes with the host's next Draw
+	q.entries[i].seen = e.seen
 }
 
-// leave drops a host's place.
-func (l *line) leave(host HostKey) {
-	if i := l.find(host); i >= 0 {
-		l.places = slices.Delete(l.places, i, i+1)
+func (q *hostQueue) remove(host HostKey) {
+	if i := q.find(host); i >= 0 {
+		q.entries = slices.Delete(q.entries, i, i+1)
 	}
 }
 
-// prune drops the places of unreachable hosts.
-func (l *line) prune(now time.Time) {
-	kept := l.places[:0]
-	for _, p := range l.places {
-		if now.Sub(p.seen) < placeValidity {
-			kept = append(kept, p)
+// removeStale removes the entries of unreachable hosts.
+func (q *hostQueue) removeStale(now time.Time) {
+	kept := q.entries[:0]
+	for _, e := range q.entries {
+		if now.Sub(e.seen) < queueEntryTTL {
+			kept = append(kept, e)
 		}
 	}
-	l.places = kept
+	q.entries = kept
 }
 
-// ahead returns the tokens that are kept free for the hosts before this one.
-func (l *line) ahead(host HostKey) int64 {
+// reservedBefore returns the tokens that are kept free for the hosts before the given one.
+func (q *hostQueue) reservedBefore(host HostKey) int64 {
 	sum := int64(0)
-	for _, p := range l.places {
-		if p.host == host {
+	for _, e := range q.entries {
+		if e.host == host {
 			break
 		}
-		sum += max(p.need, p.turn)
+		sum += max(e.need, e.reserved)
 	}
 	return sum
 }
 
-// room returns by how much each host may let its calls grow the line before it asks
-// again: all hosts in it may do so at once.
-func (l *line) room(all time.Duration) time.Duration {
-	return min(all, all/time.Duration(1+len(l.places)))
+// roomPerHost returns by how much each host may extend the queue before its next Draw. The
+// total is divided, since all queued hosts may do so at once.
+func (q *hostQueue) roomPerHost(total time.Duration) time.Duration {
+	return min(total, total/time.Duration(1+len(q.entries)))
 }
 
-// wants returns the tokens that all hosts wait for.
-func (l *line) wants() int64 {
+// wanted returns the tokens that all hosts wait for.
+func (q *hostQueue) wanted() int64 {
 	sum := int64(0)
-	for _, p := range l.places {
-		sum += p.want
+	for _, e := range q.entries {
+		sum += e.want
 	}
 	return sum
 }
 
-// longestLine returns how long the line may be for one more call to join it.
-func (b *bucket) longestLine() time.Duration {
-	usual := b.limit.After(lineCalls * b.usualCall)
-	return min(max(MaxBacklog, usual), b.limit.Window()/lineShare)
+// maxQueueDelay returns the longest queue, as a delay, that one more call may join.
+func (b *bucket) maxQueueDelay() time.Duration {
+	average := b.limit.FillTime(minQueuedCalls * b.meanCall)
+	return min(max(MaxQueueDelay, average), b.limit.Window()/queueWindowDivisor)
 }
 
-// usualMemory is the number of calls over which the usual size is a moving mean.
-const usualMemory = 16
+// meanCallSamples is the number of calls in the moving average of the call size.
+const meanCallSamples = 16
 
-// noteCall takes the size of a call that waits into the mean.
+// noteCall adds the size of a queued call to the moving average, except for small calls.
 func (b *bucket) noteCall(tokens int64) {
-	if tokens > 0 && !b.limit.small(tokens) {
-		b.usualCall += (tokens - b.usualCall) / usualMemory
+	if tokens > 0 && !b.limit.isSmall(tokens) {
+		b.meanCall += (tokens - b.meanCall) / meanCallSamples
 	}
 }
--- a/coord/workspace/room.go
+++ b/coord/workspace/room.go
@@ -1,76 +1,76 @@
 package workspace
 
-// maxRoomEntries bounds a history. Beyond it the two entries whose merging loses
-// least precision by age, the oldest ones, become one.
-const maxRoomEntries = 64
+// maxHeadroomEntries bounds a history. Beyond it, the entries of the older half are merged
+// in pairs, since precision matters least for the oldest ones.
+const maxHeadroomEntries = 64
 
-// roomHistory answers "what was the least room since a step". Steps count what was
-// booked, so that two bookings at one instant keep their order. It keeps only the
-// entries that are smaller than every later one, so values grow with the step.
-type roomHistory struct {
-	entries []roomEntry
+// headroomHistory returns the minimum headroom since a given step. A step is a counter and
+// not a time, so that two updates at the same instant stay ordered. Only entries smaller
+// than all later ones are kept, so the values increase with the step.
+type headroomHistory struct {
+	entries []headroomEntry
 }
 
-type roomEntry struct {
-	at   int64
-	room int64
+type headroomEntry struct {
+	step     int64
+	headroom int64
 }
 
-// note adds the room at a step that is not before the newest entry.
-func (h *roomHistory) note(at int64, room int64) {
-	for n := len(h.entries); n > 0 && h.entries[n-1].room >= room; n-- {
+// add records the headroom at a step, which must not be before that of the newest entry.
+func (h *headroomHistory) add(step int64, headroom int64) {
+	for n := len(h.entries); n > 0 && h.entries[n-1].headroom >= headroom; n-- {
 		h.entries = h.entries[:n-1]
 	}
-	h.entries = append(h.entries, roomEntry{at, room})
-	if len(h.entries) > maxRoomEntries {
+	h.entries = append(h.entries, headroomEntry{step, headroom})
+	if len(h.entries) > maxHeadroomEntries {
 		h.merge()
 	}
 }
 
-// merge joins each older pair into one entry with the lesser room and the later
-// step: a query then gets at most the true value, so a refund is never too large.
-func (h *roomHistory) merge() {
+// merge replaces each pair of older entries by one with the smaller headroom and the later
+// step. Queries then return at most the true value, so a refund is never too large.
+func (h *headroomHistory) merge() {
 	kept := h.entries[:0]
 	old := len(h.entries) / 2
 	for i := 0; i+1 < old; i += 2 {
-		kept = append(kept, roomEntry{h.entries[i+1].at, h.entries[i].room})
+		kept = append(kept, headroomEntry{h.entries[i+1].step, h.entries[i].headroom})
 	}
 	kept = append(kept, h.entries[old-old%2:]...)
 	h.entries = kept
 }
 
-// least returns the least room since a step.
-func (h *roomHistory) least(since int64) int64 {
+// minSince returns the minimum headroom since a step.
+func (h *headroomHistory) minSince(since int64) int64 {
 	for _, e := range h.entries {
-		if e.at >= since {
-			return e.room
+		if e.step >= since {
+			return e.headroom
 		}
 	}
 	return 0
 }
 
-// lower takes amount from the room at every step since.
-func (h *roomHistory) lower(since int64, amount int64) {
+// lowerSince subtracts amount from the headroom at every step from since on.
+func (h *headroomHistory) lowerSince(since int64, amount int64) {
 	first := 0
-	for first < len(h.entries) && h.entries[first].at < since {
+	for first < len(h.entries) && h.entries[first].step < since {
 		first++
 	}
 	if first == len(h.entries) {
 		return
 	}
 	for i := first; i < len(h.entries); i++ {
-		h.entries[i].room -= amount
+		h.entries[i].headroom -= amount
 	}
 	keep := first
-	for keep > 0 && h.entries[keep-1].room >= h.entries[first].room {
+	for keep > 0 && h.entries[keep-1].headroom >= h.entries[first].headroom {
 		keep--
 	}
 	h.entries = append(h.entries[:keep], h.entries[first:]...)
 }
 
-// raise adds amount to the room at every step.
-func (h *roomHistory) raise(amount int64) {
+// raise adds amount to the headroom at every step.
+func (h *headroomHistory) raise(amount int64) {
 	for i := range h.entries {
-		h.entries[i].room += amount
+		h.entries[i].headroom += amount
 	}
 }
--- a/coord/workspace/settle.go
+++ b/coord/workspace/settle.go
@@ -6,64 +6,61 @@
 	"time"
 )
 
-// Load pattern: the control leader is lost while all entry hosts spend.
-//
-// Without it: a new owner with a full bucket grants a second burst at once, and one that
-// starts empty refuses calls inside the rate for burst/rate seconds.
-// Rule: once every host that may hold grants has stated what it charged in the last window and
-// what it holds, free = burst - charged - held. Without the statement of an unreachable host the
-// bucket begins once every reply of an earlier owner has arrived or is void: empty at the change
-// of owner, refilled since, with that host's stock counted as granted until it lapses.
+// Load pattern: the control leader fails while all entry hosts spend tokens.
+// Without it: a new owner with full buckets grants a second burst at once, and one with empty
+// buckets refuses calls inside the rate for burst/rate seconds.
+// Rule: free = burst - charged - held, summed over the reports of all hosts that may hold grants;
+// see tryRecover for unreachable hosts.
 
-// settlement collects statements for a new owner.
-type settlement struct {
-	began   time.Time
-	stocks  time.Time // when no host has more than its stock from an earlier owner
-	ends    time.Time // when every grant of earlier owners has lapsed
-	awaited map[HostKey]bool
-	uptimes map[HostKey]time.Duration
-	first   map[HostKey]bool // runs before which their host had none
-	spent   map[string]int64
-	fresh   map[string]bool // workspaces that were given under this owner
+// recovery is the state that a new owner collects from the holders to rebuild its buckets.
+type recovery struct {
+	began             time.Time
+	excessExpired     time.Time                 // when every holder has dropped what exceeds its prefetch limit
+	grantsExpired     time.Time                 // when every grant of earlier owners has expired
+	awaited           map[HostKey]bool          // hosts whose report is needed
+	uptimes           map[HostKey]time.Duration // of the hosts that have reported
+	firstIncarnations map[HostKey]bool          // incarnations without an earlier one on the same host
+	spent             map[string]int64          // charged in the last window, held or returned, by workspace
+	newWorkspaces     map[string]bool           // configured under this owner only
 }
 
-func newSettlement(hosts []HostKey, now time.Time) *settlement {
-	s := &settlement{
-		began:   now,
-		stocks:  now.Add(ReplyTimeout + ReplyTimeout/clockShare),
-		ends:    now.Add(Validity + validityMargin),
-		awaited: make(map[HostKey]bool, len(hosts)),
-		uptimes: make(map[HostKey]time.Duration, len(hosts)),
-		first:   make(map[HostKey]bool),
-		spent:   make(map[string]int64),
-		fresh:   make(map[string]bool),
+func newRecovery(hosts []HostKey, now time.Time) *recovery {
+	r := &recovery{
+		began:             now,
+		excessExpired:     now.Add(ReplyTimeout + ReplyTimeout/clockDriftDivisor),
+		grantsExpired:     now.Add(GrantTTL + grantTTLMargin),
+		awaited:           make(map[HostKey]bool, len(hosts)),
+		uptimes:           make(map[HostKey]time.Duration, len(hosts)),
+		firstIncarnations: make(map[HostKey]bool),
+		spent:             make(map[string]int64),
+		newWorkspaces:     make(map[string]bool),
 	}
 	for _, h := range hosts {
-		s.awaited[h] = true
+		r.awaited[h] = true
 	}
-	return s
+	return r
 }
 
-// FirstRuns names runs of entry hosts before which the same host had none. Nobody
-// drew on such a host before it, so its statement covers the window however young
-// it is. Without this, a fleet that has just been started refuses calls for
-// burst/rate seconds: every process is younger than the window.
+// FirstRuns names incarnations of entry hosts that had no earlier one. As nothing was charged
+// on such a host before, its report covers the whole window, whatever its uptime. Without
+// this, a fleet that has just been started refuses calls for burst/rate seconds, because the
+// uptime of every process is shorter than the window.
 func (o *Owner) FirstRuns(hosts []HostKey) {
-	if o.settle == nil {
+	if o.recovery == nil {
 		return
 	}
 	for _, h := range hosts {
-		o.settle.first[h] = true
+		o.recovery.firstIncarnations[h] = true
 	}
 }
 
-// hear takes a statement while the buckets are not known. A holder's first one
-// counts; in later ones it can only have spent from what it stated.
-func (o *Owner) hear(d *Draw, r *hostRecord, now time.Time) {
-	if !o.settle.awaited[d.From] {
+// collectReport records a holder's message during recovery. The first message of a holder
+// counts; by a later one it can only have spent from the tokens that it reported before.
+func (o *Owner) collectReport(d *Draw, r *hostRecord, now time.Time) {
+	if !o.recovery.awaited[d.From] {
 		return
 	}
-	_, again := o.settle.uptimes[d.From]
+	_, again := o.recovery.uptimes[d.From]
 	for _, item := range d.Items {
 		h := r.holding(item.Workspace)
 		kept := max(0, item.Holding)
@@ -71,93 +68,97 @@
 			h.tokens = min(h.tokens, kept)
 			continue
 		}
-		o.settle.spent[item.Workspace] += max(0, item.SpentInWindow) + kept + max(0, item.Return)
+		o.recovery.spent[item.Workspace] += max(0, item.SpentInWindow) + kept + max(0, item.Return)
 		h.tokens = kept
-		h.lapses = now.Add(Validity + validityMargin)
+		h.expires = now.Add(GrantTTL + grantTTLMargin)
 	}
 	if !again {
-		o.settle.uptimes[d.From] = d.Uptime
+		o.recovery.uptimes[d.From] = d.Uptime
 	}
 }
 
-// trySettle makes the buckets when the statements are complete or the grants of
-// earlier owners have lapsed.
-func (o *Owner) trySettle(now time.Time) {
-	if o.settle == nil {
+// tryRecover creates the buckets once all hosts have reported, or once the deadline for
+// unreachable hosts has passed. In the latter case the bucket counts as empty at the change of
+// owner and refilled since, and the prefetched tokens of the unreachable hosts count as granted
+// until they expire.
+func (o *Owner) tryRecover(now time.Time) {
+	if o.recovery == nil {
 		return
 	}
-	silent := len(o.settle.awaited) - len(o.settle.uptimes)
-	if silent > 0 && now.Before(o.settle.due(silent)) {
+	unreachable := len(o.recovery.awaited) - len(o.recovery.uptimes)
+	if unreachable > 0 && now.Before(o.recovery.deadline(unreachable)) {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.limits)) {
 		l := o.limits[name]
-		free, began := int64(0), o.settle.began
-		if o.settle.fresh[name] {
+		free, began := int64(0), o.recovery.began
+		if o.recovery.newWorkspaces[name] {
 			free, began = l.Burst, now
-		} else if least := o.settle.least(name, l); silent == 0 && least > l.in(now.Sub(began)) {
+		} else if least := o.recovery.minFree(name, l); unreachable == 0 && least > l.tokensIn(now.Sub(began)) {
 			free, began = least, now
 		}
 		o.buckets[name] = newBucket(l, free, began)
 	}
-	o.assumeStocks(silent, now)
+	o.assumePrefetched(unreachable, now)
 	o.adoptHoldings(now)
 	for _, b := range o.buckets {
 		b.refill(now)
 	}
-	if len(o.settle.awaited) > 0 {
-		o.settled = now
+	if len(o.recovery.awaited) > 0 {
+		o.recovered = now
 	}
-	o.settle = nil
+	o.recovery = nil
 }
 
-// due returns when the buckets begin without the unreachable hosts: at once where
-// their stocks leave room in a bucket, else when these have lapsed.
-func (s *settlement) due(silent int) time.Time {
-	if silent < aheadShare/2 {
-		return s.stocks
-	}
-	return s.ends
+// deadline returns when the buckets are created without the reports of unreachable hosts. With
+// few of them, that is when they have at most their prefetched tokens left; with so many that
+// those tokens could fill half of a bucket, it is when all their grants have expired.
+func (r *recovery) deadline(unreachable int) time.Time {
+	if unreachable < prefetchDivisor/2 {
+		return r.excessExpired
+	}
+	return r.grantsExpired
 }
 
-// silentHosts is the record of what unreachable hosts may hold.
-var silentHosts = HostKey{}
+// unreachableHosts is the key of the record of the tokens that unreachable hosts may hold.
+var unreachableHosts = HostKey{}
 
-// assumeStocks counts the stocks of unreachable hosts as granted until they lapse.
-func (o *Owner) assumeStocks(silent int, now time.Time) {
-	if silent == 0 || !now.Before(o.settle.ends) {
+// assumePrefetched counts the most tokens that unreachable hosts may have prefetched as
+// granted until they expire.
+func (o *Owner) assumePrefetched(unreachable int, now time.Time) {
+	if unreachable == 0 || !now.Before(o.recovery.grantsExpired) {
 		return
 	}
-	r := o.record(silentHosts)
+	r := o.record(unreachableHosts)
 	r.seen = now
 	for name, l := range o.limits {
-		if o.settle.fresh[name] {
-			continue // an earlier owner granted nothing of it
+		if o.recovery.newWorkspaces[name] {
+			continue // no earlier owner granted tokens of it
 		}
 		h := r.holding(name)
-		h.tokens = int64(silent) * l.stock()
-		h.lapses = o.settle.ends
+		h.tokens = int64(unreachable) * l.maxPrefetch()
+		h.expires = o.recovery.grantsExpired
 	}
 }
 
-// least returns what is in a workspace's bucket at least, once all hosts have stated. No
-// statement reaches further back than its host's start, when its earlier run had ended.
-// Had all been spent just before the youngest of these starts, the bucket would have been
-// empty then, and filled since but for what the hosts state.
+// minFree returns the minimum level of a workspace's bucket, given the reports of all hosts. A
+// report covers the time since its host's start; by then the earlier incarnation had ended. In
+// the worst case the bucket was empty at the most recent of these starts, and has been refilled
+// since, less the reported charges and holdings.
 //
-// Without it, after a stop of the whole fleet calls inside the rate are refused for as
-// long as the bucket takes to fill, although for a second nobody could spend from it.
-func (s *settlement) least(name string, l Limit) int64 {
+// Without it, calls inside the rate are refused after a restart of the whole fleet for as long
+// as the bucket takes to fill, although no host could charge during the restart.
+func (r *recovery) minFree(name string, l Limit) int64 {
 	filled := l.Burst
-	for host, up := range s.uptimes {
-		if !s.first[host] && up < l.Window() {
-			filled = min(filled, l.in(up-up/clockShare)) // its clock may run fast
+	for host, up := range r.uptimes {
+		if !r.firstIncarnations[host] && up < l.Window() {
+			filled = min(filled, l.tokensIn(up-up/clockDriftDivisor)) // its clock may run fast
 		}
 	}
-	return max(0, filled-s.spent[name])
+	return max(0, filled-r.spent[name])
 }
 
-// adoptHoldings counts what holders stated as granted by this owner.
+// adoptHoldings counts the reported holdings as granted by this owner.
 func (o *Owner) adoptHoldings(now time.Time) {
 	for _, r := range o.hosts {
 		for ws, h := range r.held {
@@ -166,9 +167,9 @@
 				h.tokens = 0
 				continue
 			}
-			b.out += h.tokens * microPerToken
-			b.room = roomHistory{}
-			b.note()
+			b.granted += h.tokens * microPerToken
+			b.headroom = headroomHistory{}
+			b.recordHeadroom()
 		}
 	}
 }
--- a/coord/workspace/small.go
+++ b/coord/workspace/small.go
@@ -2,49 +2,48 @@
 
 import "time"
 
-// Load pattern: a workspace that is over its rate calls plain services beside models. A
-// call to a model takes ten or a hundred times the tokens.
-//
-// Without it: small calls queue behind the large ones and are refused for them.
+// Load pattern: a workspace over its rate calls plain services and models, which take 10 to 100 times the tokens.
+// Without it: small calls queue behind the large ones and are refused because of them.
 // Rule: a small call bypasses the queue, one at a time from each host, until such calls take a
-// third of the rate. Beyond that they are queued like all others, so that a flood of them does
-// not starve the large ones.
+// third of the rate. Beyond that they are queued like all others, so that a flood of small
+// calls does not starve the large ones.
 
 const (
-	// smallShare: a call of at most the burst divided by this is small.
-	smallShare = 128
-	// passShare: small calls that bypass the queue take at most this part of the rate.
-	passShare = 3
+	// smallCallDivisor defines a small call: at most burst/smallCallDivisor tokens.
+	smallCallDivisor = 128
+	// bypassRateDivisor limits the calls that bypass the queue to rate/bypassRateDivisor.
+	bypassRateDivisor = 3
 )
 
-// passLane is what small calls may take before the line, in micro-tokens.
-type passLane struct {
-	free   int64
-	filled time.Time
+// bypassBudget is the token bucket of the calls that bypass the queue, in micro-tokens.
+type bypassBudget struct {
+	free       int64
+	lastRefill time.Time
 }
 
-// has reports whether small calls may still take so many tokens.
-func (p *passLane) has(tokens int64, l Limit, now time.Time) bool {
-	if elapsed := min(now.Sub(p.filled), maxRefill); elapsed > 0 {
-		p.free = min(p.free+l.Rate/passShare*elapsed.Microseconds(), l.Burst/lineShare*microPerToken)
-		p.filled = now
+// has refills the budget and reports whether it covers the tokens.
+func (b *bypassBudget) has(tokens int64, l Limit, now time.Time) bool {
+	if elapsed := min(now.Sub(b.lastRefill), maxRefill); elapsed > 0 {
+		b.free = min(b.free+l.Rate/bypassRateDivisor*elapsed.Microseconds(), l.Burst/queueWindowDivisor*microPerToken)
+		b.lastRefill = now
 	}
-	return p.free >= tokens*microPerToken
+	return b.free >= tokens*microPerToken
 }
 
-// passes reports whether a host's first waiting call goes before the line.
-func (b *bucket) passes(p place) bool {
-	waits := p.need > 0 && len(b.line.places) > 0
-	return waits && b.limit.small(p.need) && b.small.has(p.need, b.limit, p.seen)
+// mayBypass reports whether a host's first queued call may bypass the queue.
+func (b *bucket) mayBypass(e queueEntry) bool {
+	waits := e.need > 0 && len(b.queue.entries) > 0
+	return waits && b.limit.isSmall(e.need) && b.bypass.has(e.need, b.limit, e.seen)
 }
 
-// pass grants a small call its tokens, or lets it wait for the next ones that flow in.
-func (b *bucket) pass(g *Grant, p place) {
-	if p.need > b.tokens() {
-		g.RetryAfter = b.limit.After(p.need - b.tokens())
+// grantBypass grants a small call its tokens. If too few are free, the call waits until
+// enough have accrued.
+func (b *bucket) grantBypass(g *Grant, e queueEntry) {
+	if e.need > b.freeTokens() {
+		g.RetryAfter = b.limit.FillTime(e.need - b.freeTokens())
 		return
 	}
-	g.Tokens = p.need
-	b.small.free -= p.need * microPerToken
-	b.line.passed(p)
+	g.Tokens = e.need
+	b.bypass.free -= e.need * microPerToken
+	b.queue.noteBypass(e)
 }
--- a/coord/workspace/stories_test.go
+++ b/coord/workspace/stories_test.go
@@ -26,7 +26,7 @@
 
 // settleOwner has the first host call until the present owner knows the buckets.
 func settleOwner(f *fleet) {
-	for !f.owner().Settled() {
+	for !f.owner().Ready() {
 		_, _ = f.charge(0, 100)
 		f.exchange(0)
 		f.advance(50 * time.Millisecond)
@@ -274,11 +274,11 @@
 		began := f.now
 		settleOwner(f)
 		Expect(f.now.Sub(began)).To(BeNumerically(">", workspace.ReplyTimeout))
-		Expect(f.now.Sub(began)).To(BeNumerically("<", workspace.Validity/2))
+		Expect(f.now.Sub(began)).To(BeNumerically("<", workspace.GrantTTL/2))
 		level := f.owner().Levels(f.now)[0]
 		Expect(level.Free).To(BeNumerically("<", limit.Burst/4))
 		Expect(level.Granted).To(BeNumerically(">=", limit.Burst/32))
-		for f.now.Sub(began) < workspace.Validity-60*time.Millisecond {
+		for f.now.Sub(began) < workspace.GrantTTL-60*time.Millisecond {
 			_, _ = f.charge(0, f.owner().Levels(f.now)[0].Free)
 			f.exchange(0)
 			f.extend()
@@ -303,7 +303,7 @@
 		f.takeOver()
 		began := f.now
 		settleOwner(f)
-		for f.now.Sub(began) < workspace.Validity-300*time.Millisecond {
+		for f.now.Sub(began) < workspace.GrantTTL-300*time.Millisecond {
 			f.exchange(0)
 			f.extend()
 			f.advance(20 * time.Millisecond)
@@ -364,7 +364,7 @@
 			f.exchange(0)
 			f.advance(25 * time.Millisecond)
 		}
-		for !f.owner().Settled() {
+		for !f.owner().Ready() {
 			f.exchange(0)
 			f.exchange(1)
 			f.advance(25 * time.Millisecond)
@@ -389,7 +389,7 @@
 		f.takeOver()
 		began := f.now
 		settleOwner(f)
-		Expect(f.now.Sub(began)).To(BeNumerically(">", workspace.Validity))
+		Expect(f.now.Sub(began)).To(BeNumerically(">", workspace.GrantTTL))
 		for i := range f.holders {
 			f.chargeHeld(i)
 		}
@@ -423,7 +423,7 @@
 			h.OwnerChanged(2)
 			f.exchange(i)
 		}
-		Expect(f.owner().Settled()).To(BeTrue())
+		Expect(f.owner().Ready()).To(BeTrue())
 		f.advance(settleStep)
 		waits, err := f.charge(1, 1200)
 		Expect(err).NotTo(HaveOccurred())
@@ -441,7 +441,7 @@
 		l.f.lease = l.f.now
 		l.f.takeOver()
 		l.run(260, func() {})
-		Expect(l.f.owner().Settled()).To(BeTrue())
+		Expect(l.f.owner().Ready()).To(BeTrue())
 		Expect(l.f.owner().Levels(l.f.now)[0].Free).To(Equal(limit.Burst))
 	})
 
@@ -490,7 +490,7 @@
 		Expect(f.holders[0].Poll(f.now)).NotTo(BeNil())
 		f.now = f.now.Add(workspace.MaxWait)
 		Expect(f.holders[0].Tick(f.now)).To(BeEmpty(), "an owner may still come")
-		f.now = f.now.Add(workspace.OwnerWait - workspace.MaxWait)
+		f.now = f.now.Add(workspace.MaxOwnerWait - workspace.MaxWait)
 		outcomes := f.holders[0].Tick(f.now)
 		Expect(outcomes).To(HaveLen(1))
 		Expect(fault.Is(outcomes[0].Err, fault.NoQuorum)).To(BeTrue())
--- a/coord/workspace/use.go
+++ b/coord/workspace/use.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// useMemory is the time constant of the mean of recent use: long enough to bridge
-// the gaps of a few calls a second, short enough that an idle host returns its stock
-// within seconds.
-const useMemory = 2 * time.Second
+// useRateTimeConstant is the time constant of the moving average of token use. It is long
+// enough to smooth over the gaps at a few calls per second, and short enough that an idle
+// host returns its prefetched tokens within seconds.
+const useRateTimeConstant = 2 * time.Second
 
-// useRate is an exponentially weighted rate of tokens.
+// useRate is an exponentially weighted moving average of token use.
 type useRate struct {
 	perSec float64
 	at     time.Time
@@ -18,19 +18,19 @@
 
 func (u *useRate) add(now time.Time, tokens int64) {
 	u.decay(now)
-	u.perSec += float64(tokens) / useMemory.Seconds()
+	u.perSec += float64(tokens) / useRateTimeConstant.Seconds()
 }
 
 func (u *useRate) decay(now time.Time) {
 	if !u.at.IsZero() && now.After(u.at) {
-		u.perSec *= math.Exp(-now.Sub(u.at).Seconds() / useMemory.Seconds())
+		u.perSec *= math.Exp(-now.Sub(u.at).Seconds() / useRateTimeConstant.Seconds())
 	}
 	if now.After(u.at) {
 		u.at = now
 	}
 }
 
-// perSecond returns the rate; one below a token a second is none.
+// perSecond returns the rate in whole tokens per second, rounded down.
 func (u *useRate) perSecond(now time.Time) int64 {
 	u.decay(now)
 	return int64(u.perSec)
