--- a/coord/workspace/fleet_test.go
+++ b/coord/workspace/fleet_test.go
@@ -9,32 +9,32 @@
 
 const ws = "w"
 
-// oracle is a plain token bucket over all charges of the fleet, each counted at the
-// time of the charge and less what was refunded later.
+// oracle is a reference token bucket over all charges of the fleet. A charge counts at its
+// own time, less what was refunded later.
 type oracle struct {
-	limit  workspace.Limit
-	events []event
+	limit   workspace.Limit
+	charges []chargeRecord
 }
 
-type event struct {
-	at     time.Time
-	tokens int64
-	charge workspace.Charge
-	host   int
-	closed bool
+type chargeRecord struct {
+	at       time.Time
+	tokens   int64
+	charge   workspace.Charge
+	host     int
+	refunded bool
 }
 
-// overrun returns the most by which a window is over its allowance, in tokens.
+// overrun returns the most tokens by which the charges of any window exceed the limit.
 func (o *oracle) overrun() float64 {
 	_, worst := o.replay(start)
 	return worst
 }
 
-// replay returns the level at now and the most by which it was below zero.
+// replay returns the bucket level at now and the most by which it was below zero.
 func (o *oracle) replay(now time.Time) (level, worst float64) {
 	level = float64(o.limit.Burst)
 	last := start
-	for _, e := range o.events {
+	for _, e := range o.charges {
 		level = min(float64(o.limit.Burst), level+float64(o.limit.Rate)*e.at.Sub(last).Seconds())
 		last = e.at
 		level -= float64(e.tokens)
@@ -43,33 +43,33 @@
 	return min(float64(o.limit.Burst), level+float64(o.limit.Rate)*now.Sub(last).Seconds()), worst
 }
 
-// fleet is holders and owners with a network of two slices between them.
+// fleet simulates holders and owners. The slices toOwner and toHost are the network.
 type fleet struct {
-	now     time.Time
-	limits  map[string]workspace.Limit
-	holders []*workspace.Holder
-	keys    []workspace.HostKey
-	all     []workspace.HostKey // every run of a host so far
-	rates   []float64           // of each host's clock
-	born    []time.Time
-	owners  []*workspace.Owner // the last one leads; earlier ones may still be reached
-	lease   time.Time
-	toOwner []parcel
-	toHost  []answer
-	oracle  oracle
-	serial  int
-	// outcomes of calls that waited, for a test that follows them
+	now          time.Time
+	limits       map[string]workspace.Limit
+	holders      []*workspace.Holder
+	keys         []workspace.HostKey
+	incarnations []workspace.HostKey // all incarnations of all hosts, unless a test drops the old ones
+	clockRates   []float64           // of each host's clock relative to now
+	started      []time.Time
+	owners       []*workspace.Owner // the last one leads; earlier ones can still receive messages
+	lease        time.Time
+	toOwner      []pendingDraw
+	toHost       []pendingReply
+	oracle       oracle
+	serial       int
+	// outcomes of the queued calls, for tests that check them
 	outcomes []workspace.Outcome
 }
 
-type parcel struct {
+type pendingDraw struct {
 	host  int
 	key   workspace.HostKey
 	owner int
 	draw  *workspace.Draw
 }
 
-type answer struct {
+type pendingReply struct {
 	host  int
 	key   workspace.HostKey
 	reply *workspace.Reply
@@ -79,10 +79,10 @@
 	f := &fleet{now: start, limits: map[string]workspace.Limit{ws: limit}, oracle: oracle{limit: limit}}
 	f.holders = make([]*workspace.Holder, hosts)
 	f.keys = make([]workspace.HostKey, hosts)
-	f.rates = make([]float64, hosts)
-	f.born = make([]time.Time, hosts)
+	f.clockRates = make([]float64, hosts)
+	f.started = make([]time.Time, hosts)
 	for i := range hosts {
-		f.rates[i] = 1
+		f.clockRates[i] = 1
 		f.startHost(i)
 	}
 	f.owners = []*workspace.Owner{workspace.NewOwner(1, f.limits, nil, f.now)}
@@ -93,15 +93,15 @@
 func (f *fleet) startHost(i int) {
 	f.serial++
 	f.keys[i] = workspace.HostKey{Host: fmt.Sprintf("host%d", i), Incarnation: fmt.Sprint(f.serial)}
-	f.all = append(f.all, f.keys[i])
-	f.born[i] = f.now
+	f.incarnations = append(f.incarnations, f.keys[i])
+	f.started[i] = f.now
 	f.holders[i] = workspace.NewHolder(f.keys[i], f.now)
 	f.holders[i].Configure(f.limits, f.now)
 }
 
-// clock returns the time by a host's own clock, which may run fast or slow.
+// clock returns the time on a host's own clock, which may run fast or slow.
 func (f *fleet) clock(i int) time.Time {
-	return f.born[i].Add(time.Duration(float64(f.now.Sub(f.born[i])) * f.rates[i]))
+	return f.started[i].Add(time.Duration(float64(f.now.Sub(f.started[i])) * f.clockRates[i]))
 }
 
 func (f *fleet) owner() *workspace.Owner { return f.owners[len(f.owners)-1] }
@@ -111,17 +111,17 @@
 	f.owner().Extend(f.lease)
 }
 
-// takeOver waits for the end of the lease, as the log's leader does.
+// takeOver adds a new owner after the end of the lease, as a new control leader does.
 func (f *fleet) takeOver() {
 	if f.now.Before(f.lease) {
 		f.now = f.lease
 	}
-	f.owners = append(f.owners, workspace.NewOwner(uint64(len(f.owners)+1), f.limits, f.all, f.now))
+	f.owners = append(f.owners, workspace.NewOwner(uint64(len(f.owners)+1), f.limits, f.incarnations, f.now))
 	f.extend()
 }
 
-func (f *fleet) note(i int, c workspace.Charge) {
-	f.oracle.events = append(f.oracle.events, event{at: f.now, tokens: c.Tokens, charge: c, host: f.serialOf(i)})
+func (f *fleet) recordCharge(i int, c workspace.Charge) {
+	f.oracle.charges = append(f.oracle.charges, chargeRecord{at: f.now, tokens: c.Tokens, charge: c, host: f.serialOf(i)})
 }
 
 func (f *fleet) serialOf(i int) int {
@@ -130,7 +130,7 @@
 	return n
 }
 
-func (f *fleet) take(i int, outcomes []workspace.Outcome) (charged, refused int) {
+func (f *fleet) handleOutcomes(i int, outcomes []workspace.Outcome) (charged, refused int) {
 	f.outcomes = append(f.outcomes, outcomes...)
 	for _, o := range outcomes {
 		if o.Err != nil {
@@ -138,7 +138,7 @@
 			continue
 		}
 		charged++
-		f.note(i, o.Charge)
+		f.recordCharge(i, o.Charge)
 	}
 	return charged, refused
 }
@@ -147,19 +147,19 @@
 	f.serial++
 	c, waits, err := f.holders[i].Charge(fmt.Sprint(f.serial), ws, tokens, f.clock(i).Add(time.Hour), f.clock(i))
 	if err == nil && !waits {
-		f.note(i, c)
+		f.recordCharge(i, c)
 	}
 	return waits, err
 }
 
-func (f *fleet) deliver(p parcel) {
+func (f *fleet) deliver(p pendingDraw) {
 	reply, err := f.owners[p.owner].Draw(p.draw, f.now)
 	if err == nil {
-		f.toHost = append(f.toHost, answer{p.host, p.key, reply})
+		f.toHost = append(f.toHost, pendingReply{p.host, p.key, reply})
 	}
 }
 
-// exchange has a host draw from the present owner without delay.
+// exchange lets a host send a Draw to the current owner and applies the reply, without delay.
 func (f *fleet) exchange(i int) (charged, refused int) {
 	d := f.holders[i].Poll(f.clock(i))
 	if d == nil {
@@ -170,21 +170,21 @@
 		f.holders[i].Failed(d.Sequence, f.clock(i))
 		return 0, 0
 	}
-	return f.take(i, f.holders[i].Reply(reply, f.clock(i)))
+	return f.handleOutcomes(i, f.holders[i].Reply(reply, f.clock(i)))
 }
 
-// tolerance is for the oracle's floating point, in tokens.
+// tolerance covers the floating-point error of the oracle, in tokens.
 const tolerance = 0.001
 
 func (f *fleet) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	for i, h := range f.holders {
-		f.take(i, h.Tick(f.clock(i)))
+		f.handleOutcomes(i, h.Tick(f.clock(i)))
 	}
 }
 
-// chargeHeld charges small requests until one has to wait.
-func (f *fleet) chargeHeld(i int) {
+// chargeUntilQueued charges small requests until one is queued or refused, 40 at most.
+func (f *fleet) chargeUntilQueued(i int) {
 	for range 40 {
 		waits, err := f.charge(i, max(1, f.oracle.limit.Burst/400))
 		if waits || err != nil {
@@ -194,12 +194,12 @@
 }
 
 func (f *fleet) refund(n int, pick picker) {
-	e := &f.oracle.events[n]
+	e := &f.oracle.charges[n]
 	for i, h := range f.holders {
-		if e.host == f.serialOf(i) && !e.closed {
+		if e.host == f.serialOf(i) && !e.refunded {
 			unused := int64(pick(0, int(e.tokens)))
 			h.Refund(e.charge, unused)
-			e.closed = true
+			e.refunded = true
 			e.tokens -= unused
 		}
 	}
--- a/coord/workspace/load_test.go
+++ b/coord/workspace/load_test.go
@@ -12,79 +12,80 @@
 	"cowsliptiller/coord/workspace"
 )
 
-// loadRun plays arrivals against a fleet whose messages take a millisecond each way.
+// loadRun simulates calls to a fleet whose messages take a millisecond each way.
 type loadRun struct {
-	f       *fleet
-	r       *rand.Rand
-	due     map[int64][]func() // by millisecond
-	ms      int64
-	asked   int // inside the rate by the oracle at arrival
-	refused int // of these
-	served  int64
-	used    float64
-	ends    int
-	down    bool // no owner can be reached
+	f                 *fleet
+	r                 *rand.Rand
+	scheduled         map[int64][]func() // callbacks by millisecond
+	ms                int64
+	asked             int // calls made
+	refused           int // of the calls made
+	served            int64
+	maxUnusedFraction float64
+	ends              int
+	ownerDown         bool // no owner is reachable
 }
 
 func newLoadRun(seed int64, hosts int, limit workspace.Limit) *loadRun {
-	return &loadRun{f: newFleet(hosts, limit), r: rand.New(rand.NewSource(seed)), due: map[int64][]func(){}}
+	return &loadRun{f: newFleet(hosts, limit), r: rand.New(rand.NewSource(seed)), scheduled: map[int64][]func(){}}
 }
 
-func (l *loadRun) at(ms int64, do func()) { l.due[l.ms+ms] = append(l.due[l.ms+ms], do) }
+func (l *loadRun) after(ms int64, do func()) { l.scheduled[l.ms+ms] = append(l.scheduled[l.ms+ms], do) }
 
-// run advances by milliseconds; arrive is called in each one.
+// run advances the time in steps of a millisecond and calls arrive in each.
 func (l *loadRun) run(ms int64, arrive func()) {
 	for range ms {
 		l.ms++
 		l.f.now = l.f.now.Add(time.Millisecond)
-		if l.ms%200 == 0 && !l.down {
+		if l.ms%200 == 0 && !l.ownerDown {
 			l.f.extend()
 		}
 		arrive()
-		for _, do := range l.due[l.ms] {
+		for _, do := range l.scheduled[l.ms] {
 			do()
 		}
-		delete(l.due, l.ms)
+		delete(l.scheduled, l.ms)
 		for i, h := range l.f.holders {
-			l.outcomes(i, h.Tick(l.f.now))
+			l.handleOutcomes(i, h.Tick(l.f.now))
 			if d := h.Poll(l.f.now); d != nil {
-				l.at(1, func() { l.draw(i, d) })
+				l.after(1, func() { l.draw(i, d) })
 			}
 		}
 	}
 }
 
 func (l *loadRun) draw(i int, d *workspace.Draw) {
-	if l.down {
+	if l.ownerDown {
 		return
 	}
 	reply, err := l.f.owner().Draw(d, l.f.now)
 	if err == nil {
-		l.at(1, func() { l.outcomes(i, l.f.holders[i].Reply(reply, l.f.now)) })
+		l.after(1, func() { l.handleOutcomes(i, l.f.holders[i].Reply(reply, l.f.now)) })
 	}
 }
 
-func (l *loadRun) outcomes(i int, outcomes []workspace.Outcome) {
-	charged, refused := l.f.take(i, outcomes)
+func (l *loadRun) handleOutcomes(i int, outcomes []workspace.Outcome) {
+	charged, refused := l.f.handleOutcomes(i, outcomes)
 	l.refused += refused
-	for n := len(l.f.oracle.events) - charged; n < len(l.f.oracle.events); n++ {
+	for n := len(l.f.oracle.charges) - charged; n < len(l.f.oracle.charges); n++ {
 		l.finish(n)
 	}
 }
 
-// finish has a request end some time later with a part of its tokens unused.
+// finish ends a charged request after 0.1 to 2.1 s and refunds a random part of its tokens, up to
+// maxUnusedFraction.
 func (l *loadRun) finish(n int) {
-	l.served += l.f.oracle.events[n].tokens
+	l.served += l.f.oracle.charges[n].tokens
 	l.ends++
-	unused := l.r.Float64() * l.used
-	l.at(100+l.r.Int63n(2000), func() {
+	unused := l.r.Float64() * l.maxUnusedFraction
+	l.after(100+l.r.Int63n(2000), func() {
 		l.f.refund(n, func(_, hi int) int { return int(float64(hi) * unused) })
 	})
 }
 
 func (l *loadRun) call(i int, tokens int64) {
 	l.asked++
-	before := len(l.f.oracle.events)
+	before := len(l.f.oracle.charges)
 	waits, err := l.f.charge(i, tokens)
 	if err != nil {
 		l.refused++
@@ -94,24 +95,25 @@
 	}
 }
 
-// insideRate plays one workspace that keeps inside its rate and burst, as a plain
-// bucket at its own side says, and returns the part refused.
+// insideRate simulates one workspace whose caller enforces the rate and burst with a token
+// bucket of its own, and returns the fraction of refused calls. With skewed, nine of ten calls
+// go to one host, which changes every 5 s.
 func insideRate(seed int64, skewed bool) (refused float64, run *loadRun) {
 	limit := workspace.Limit{Rate: 4000, Burst: 20000}
 	l := newLoadRun(seed, 3, limit)
-	own := float64(limit.Burst)
-	pace := 1.0
+	level := float64(limit.Burst)
+	load := 1.0
 	l.run(60_000, func() {
-		own = min(float64(limit.Burst), own+float64(limit.Rate)/1000)
+		level = min(float64(limit.Burst), level+float64(limit.Rate)/1000)
 		if l.r.Intn(2000) == 0 {
-			pace = 0.2 + 6*l.r.Float64()*l.r.Float64()
+			load = 0.2 + 6*l.r.Float64()*l.r.Float64()
 		}
-		for l.r.Float64() < pace*float64(limit.Rate)/1000/600 {
+		for l.r.Float64() < load*float64(limit.Rate)/1000/600 {
 			tokens := int64(100 + l.r.ExpFloat64()*500)
-			if own < float64(tokens) {
+			if level < float64(tokens) {
 				return
 			}
-			own -= float64(tokens)
+			level -= float64(tokens)
 			host := l.r.Intn(3)
 			if skewed && l.r.Intn(10) > 0 {
 				host = int(l.ms/5000) % 3
@@ -123,8 +125,8 @@
 }
 
 var _ = Describe("a workspace's calls under load", func() {
-	// A small shop inside its rate is refused now and then, because its tokens lie at
-	// an entry host that it calls no more. The aim is under 0.1 %.
+	// Guards against refused calls inside the rate when the tokens are held by an entry host
+	// that the workspace no longer calls. The objective is under 0.1 %.
 	It("does not refuse calls inside the rate", func() {
 		refused, asked := 0, 0
 		for seed := range int64(10) {
@@ -136,7 +138,7 @@
 		Expect(float64(refused)).To(BeNumerically("<", 0.001*float64(asked)))
 	})
 
-	// One workspace sends five times its rate: it gets its rate, no more, no less.
+	// Guards against an overloaded workspace that gets more or less than its rate.
 	It("serves a workspace that sends five times its rate with just its rate", func() {
 		limit := workspace.Limit{Rate: 4000, Burst: 20000}
 		l := newLoadRun(1, 3, limit)
@@ -151,17 +153,16 @@
 		Expect(l.f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// Callers inside their rate are refused for seconds when the leader is lost, here for
-	// 1.2 s each time. Calls wait meanwhile; once all hosts have told what they spent, the
-	// bucket is what it was.
+	// Guards against refused calls inside the rate when the leader is lost, here for 1.2 s each
+	// time. Calls wait instead, and the bucket level is recovered from the reports of all hosts.
 	It("refuses nothing inside the rate when the owner changes", func() {
 		l := newLoadRun(3, 3, workspace.Limit{Rate: 4000, Burst: 20000})
 		l.run(60_000, func() {
 			switch l.ms % 10_000 {
 			case 8_000:
-				l.down = true
+				l.ownerDown = true
 			case 9_200:
-				l.down = false
+				l.ownerDown = false
 				l.f.takeOver()
 			}
 			if l.r.Float64() < 0.5*4.0/600 {
--- a/coord/workspace/stories_test.go
+++ b/coord/workspace/stories_test.go
@@ -12,8 +12,8 @@
 	"cowsliptiller/coord/workspace"
 )
 
-// settled runs small calls on every host until each holds a stock.
-func settled(f *fleet) {
+// prefetchAll sends small calls to every host until each has prefetched tokens.
+func prefetchAll(f *fleet) {
 	for range 20 {
 		for i := range f.holders {
 			_, _ = f.charge(i, f.oracle.limit.Burst/80)
@@ -24,8 +24,8 @@
 	}
 }
 
-// settleOwner has the first host call until the present owner knows the buckets.
-func settleOwner(f *fleet) {
+// recoverOwner sends calls to the first host until the current owner has recovered its buckets.
+func recoverOwner(f *fleet) {
 	for !f.owner().Ready() {
 		_, _ = f.charge(0, 100)
 		f.exchange(0)
@@ -34,7 +34,7 @@
 	}
 }
 
-// drain charges all that the oracle has, at one host.
+// drain charges the whole level of the oracle at one host.
 func drain(f *fleet, i int) {
 	level, _ := f.oracle.replay(f.now)
 	waits, err := f.charge(i, int64(level))
@@ -47,30 +47,30 @@
 var _ = Describe("the bound on a workspace's rate", func() {
 	limit := workspace.Limit{Rate: 1000, Burst: 2000}
 
-	// A workspace is charged twice its burst in one moment. An entry host holds a
-	// stock of tokens and freezes; its grants lapse, the bucket fills, another host
-	// spends it all; then the frozen host wakes up and serves calls from its stock.
-	It("keeps a frozen holder from spending lapsed grants", func() {
+	// Guards against twice the burst at once: a host with prefetched tokens freezes, its grants
+	// expire, the bucket refills and another host spends it; then the frozen host resumes and
+	// serves calls from its prefetched tokens.
+	It("keeps a frozen holder from spending expired grants", func() {
 		f := newFleet(2, limit)
-		settled(f)
+		prefetchAll(f)
 		f.now = f.now.Add(10 * time.Second)
 		f.extend()
 		f.exchange(1)
 		drain(f, 1)
 		level, _ := f.oracle.replay(f.now)
 		Expect(level).To(BeNumerically("<", 1))
-		f.chargeHeld(0)
+		f.chargeUntilQueued(0)
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// Two bursts in one moment: the leader freezes, another takes over and grants the
-	// bucket; the first wakes up and answers the messages that wait at its door.
+	// Guards against two bursts at once: the leader freezes and another one takes over and
+	// grants the bucket; then the first one resumes and replies to the messages it has queued.
 	It("keeps a frozen owner from granting after its lease", func() {
 		f := newFleet(2, limit)
-		settled(f)
+		prefetchAll(f)
 		frozen := f.owner()
 		f.takeOver()
-		settleOwner(f)
+		recoverOwner(f)
 		f.advance(5 * time.Second)
 		f.extend()
 		level := f.owner().Levels(f.now)[0].Free
@@ -83,15 +83,15 @@
 		Expect(fault.Is(err, fault.NotLeader)).To(BeTrue())
 	})
 
-	// Calls get a second burst after a restart: a host spends the whole burst and its
-	// process restarts; the leader changes, and the new run states that it spent nothing.
-	It("does not take a restarted host's word for what its earlier run spent", func() {
+	// Guards against a second burst after a restart: a host spends the whole burst and its
+	// process restarts; the leader changes, and the new incarnation reports no charges.
+	It("does not rely on a restarted host's report for charges of its earlier incarnation", func() {
 		f := newFleet(1, limit)
 		drain(f, 0)
 		f.exchange(0)
 		f.startHost(0)
 		f.lease = f.now
-		f.all = f.all[1:] // the table of hosts knows only the newest run
+		f.incarnations = f.incarnations[1:] // the host table has only the newest incarnation
 		f.takeOver()
 		f.exchange(0)
 		_, _ = f.charge(0, 1500)
@@ -99,10 +99,10 @@
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// All processes lose power and start again. Their callers come back at once, inside
-	// the rate, and were refused: the new owner knew nothing of the time before its hosts
-	// started and took the buckets for empty, though nobody had spent for a second.
-	It("knows that nobody spent while all hosts were starting", func() {
+	// Guards against refused calls inside the rate after a restart of all processes: the new
+	// owner had no reports on the time before its hosts started and assumed empty buckets,
+	// although no host had charged anything for a second.
+	It("assumes no charges while all hosts were starting", func() {
 		f := newFleet(2, limit)
 		drain(f, 0)
 		f.exchange(0)
@@ -110,7 +110,7 @@
 		for i := range f.holders {
 			f.startHost(i)
 		}
-		f.all = slices.Clone(f.keys)
+		f.incarnations = slices.Clone(f.keys)
 		f.now = f.now.Add(time.Second)
 		f.lease = f.now
 		f.takeOver()
@@ -122,14 +122,14 @@
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// A fleet has just been started and a workspace's first call is refused as over
-	// its rate: the leader that owns the bucket is new, every entry host is younger
-	// than the window, and so the bucket starts empty, though nobody drew before.
-	It("starts full in a fleet where no entry host had an earlier run", func() {
+	// Guards against a refused first call in a fleet that has just been started: the owner is
+	// new and the uptime of every host is shorter than the window, so that the bucket started
+	// empty, although no host had charged anything before.
+	It("starts full in a fleet where no entry host had an earlier incarnation", func() {
 		f := newFleet(1, limit)
 		f.lease = f.now
 		f.takeOver()
-		f.owner().FirstRuns(f.all)
+		f.owner().FirstRuns(f.incarnations)
 		_, _ = f.charge(0, 1500)
 		charged, refused := f.exchange(0)
 		Expect(charged).To(Equal(1))
@@ -137,15 +137,14 @@
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// Two entry hosts run and one of them is idle. The leader changes, and the next
-	// call at the busy one is refused as over its rate: the new owner waits for the
-	// idle host's statement, which has nothing to say and so says nothing.
-	It("hears from an idle host within the time that a call waits", func() {
+	// Guards against a refused call after a leader change while another entry host is idle: the
+	// new owner waits for the idle host, which has nothing to report and so sent no message.
+	It("gets the report of an idle host within the time that a call waits", func() {
 		f := newFleet(2, limit)
 		f.exchange(1)
 		f.lease = f.now
 		f.takeOver()
-		f.owner().FirstRuns(f.all)
+		f.owner().FirstRuns(f.incarnations)
 		_, _ = f.charge(0, 1500)
 		charged := 0
 		for f.now.Sub(start) < workspace.MaxWait {
@@ -158,8 +157,8 @@
 		Expect(charged).To(Equal(1))
 	})
 
-	// A workspace spends more than its burst in one moment: a long request ends and is
-	// refunded after the bucket had filled up again, so that its tokens come on top.
+	// Guards against more than the burst at once: a long request is refunded after the bucket
+	// has refilled, so that the refund adds to a full bucket.
 	It("refunds only what the bucket had room for since the charge", func() {
 		f := newFleet(1, limit)
 		_, _ = f.charge(0, 1000)
@@ -181,15 +180,15 @@
 		f.extend()
 		f.advance(450 * time.Millisecond)
 		charged, _ := f.exchange(0)
-		Expect(charged).To(Equal(1), "and no less than that")
+		Expect(charged).To(Equal(1), "the refund is no less than the headroom allows")
 	})
 
-	// A workspace spends more than its rate after a change of leader: a long request,
-	// charged before the window that the new owner began from, ends and is refunded.
+	// Guards against more than the rate after a leader change: a long request is refunded whose
+	// charge is older than the window from which the new owner recovered its bucket.
 	It("does not refund what an earlier owner charged", func() {
 		f := newFleet(1, limit)
 		drain(f, 0)
-		first := len(f.oracle.events) - 1
+		first := len(f.oracle.charges) - 1
 		for range 30 {
 			f.advance(100 * time.Millisecond)
 			f.extend()
@@ -209,8 +208,8 @@
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// Twice the tokens of one grant: the network repeats a holder's message, and a
-	// second reply adds to the owner's account what the holder received once.
+	// Guards against a grant that is counted twice: the network duplicates a holder's message,
+	// and the owner adds a second grant although the holder received only one.
 	It("answers a repeated message with the same reply", func() {
 		f := newFleet(2, limit)
 		_, _ = f.charge(0, 1500)
@@ -218,34 +217,34 @@
 		one, err := f.owner().Draw(d, f.now)
 		Expect(err).NotTo(HaveOccurred())
 		f.exchange(1)
-		f.advance(20 * time.Millisecond) // another host is active: a new answer would be smaller
+		f.advance(20 * time.Millisecond) // another host is active, so that a new reply would grant less
 		two, err := f.owner().Draw(d, f.now)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(two).To(Equal(one))
 		Expect(f.owner().Levels(f.now)[0].Granted).To(Equal(one.Grants[0].Tokens))
 	})
 
-	// A host serves the same tokens twice: it charges from its stock while a message is
-	// under way that stated the stock, and the reply renews what was stated.
-	It("counts what was charged while a message was under way", func() {
+	// Guards against tokens that are charged twice: a host charges from its balance while a
+	// message with that balance is in flight, and the reply renews the reported balance.
+	It("counts what was charged while a message was in flight", func() {
 		f := newFleet(1, limit)
-		settled(f)
+		prefetchAll(f)
 		f.advance(30 * time.Millisecond)
 		d := f.holders[0].Poll(f.now)
 		Expect(d).NotTo(BeNil())
 		reply, err := f.owner().Draw(d, f.now)
 		Expect(err).NotTo(HaveOccurred())
-		f.chargeHeld(0)
-		before := len(f.oracle.events)
-		f.take(0, f.holders[0].Reply(reply, f.now))
-		f.chargeHeld(0)
-		charged := int64(len(f.oracle.events)-before) * (f.oracle.limit.Burst / 400)
+		f.chargeUntilQueued(0)
+		before := len(f.oracle.charges)
+		f.handleOutcomes(0, f.holders[0].Reply(reply, f.now))
+		f.chargeUntilQueued(0)
+		charged := int64(len(f.oracle.charges)-before) * (f.oracle.limit.Burst / 400)
 		Expect(charged).To(BeNumerically("<=", reply.Grants[0].Tokens))
 	})
 
-	// A workspace spends returned tokens twice: the network delivers an old message, in
-	// which a host gave tokens back, again after a newer one.
-	It("refuses a message that is older than the newest", func() {
+	// Guards against returned tokens that are counted twice: the network delivers an old message
+	// with a return again after a newer one.
+	It("refuses a message that is older than the newest one", func() {
 		f := newFleet(1, limit)
 		from := f.keys[0]
 		draw := func(d *workspace.Draw) error {
@@ -262,17 +261,17 @@
 		Expect(f.owner().Levels(f.now)[0]).To(Equal(workspace.Level{Workspace: ws, Free: 500, Granted: 1500}))
 	})
 
-	// Two bursts in one moment: the leader is lost and one host cannot reach the new
-	// one, but still holds its stock. The new owner grants to the others meanwhile, and
-	// the silent host spends the stock at the last moment of its validity. (The owner
-	// once waited for that lapse instead, and all callers of the fleet with it.)
-	It("counts a silent host's stock as granted until it has lapsed", func() {
+	// Guards against two bursts at once after a leader change: one host cannot reach the new
+	// owner and spends its prefetched tokens just before they expire, while the owner grants to
+	// the others. It also guards against an owner that waits for that expiry before it grants,
+	// which delays all callers of the fleet.
+	It("counts an unreachable host's prefetched tokens as granted until they have expired", func() {
 		f := newFleet(2, limit)
-		settled(f)
+		prefetchAll(f)
 		f.lease = f.now
 		f.takeOver()
 		began := f.now
-		settleOwner(f)
+		recoverOwner(f)
 		Expect(f.now.Sub(began)).To(BeNumerically(">", workspace.ReplyTimeout))
 		Expect(f.now.Sub(began)).To(BeNumerically("<", workspace.GrantTTL/2))
 		level := f.owner().Levels(f.now)[0]
@@ -284,15 +283,15 @@
 			f.extend()
 			f.advance(20 * time.Millisecond)
 		}
-		f.chargeHeld(1)
+		f.chargeUntilQueued(1)
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// The same where the bucket has filled up meanwhile: the new owner grants a whole
-	// burst, and the silent host's stock comes on top in the same moment.
-	It("keeps room for a silent host's stock in a full bucket", func() {
+	// Guards against the same failure with a bucket that has refilled meanwhile: the new owner
+	// grants a whole burst, and the unreachable host spends its prefetched tokens at that time.
+	It("keeps headroom for an unreachable host's prefetched tokens in a full bucket", func() {
 		f := newFleet(2, workspace.Limit{Rate: 8000, Burst: 2000})
-		for range 20 { // host 1 uses enough to hold a whole stock
+		for range 20 { // host 1 uses enough to prefetch as much as it may
 			_, _ = f.charge(1, 150)
 			f.exchange(1)
 			f.exchange(0)
@@ -302,7 +301,7 @@
 		f.lease = f.now
 		f.takeOver()
 		began := f.now
-		settleOwner(f)
+		recoverOwner(f)
 		for f.now.Sub(began) < workspace.GrantTTL-300*time.Millisecond {
 			f.exchange(0)
 			f.extend()
@@ -311,17 +310,17 @@
 		_, err := f.charge(0, f.owner().Levels(f.now)[0].Free)
 		Expect(err).NotTo(HaveOccurred())
 		f.exchange(0)
-		f.chargeHeld(0)
-		f.chargeHeld(1)
+		f.chargeUntilQueued(0)
+		f.chargeUntilQueued(1)
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// As before, but the silent host has most of a burst in hand: it drew that for a
-	// call whose caller left while the reply was on its way. Spent after the new owner
-	// has begun, it would come on top of what that one grants.
-	It("leaves a silent host no more than its stock once a new owner grants", func() {
+	// Guards against the same failure with an unreachable host that holds half of a burst: it was
+	// granted for a call that was canceled while the reply was in flight. If it is spent once
+	// the new owner grants tokens, it exceeds the bound.
+	It("leaves an unreachable host no more than its prefetched tokens once a new owner grants", func() {
 		f := newFleet(2, limit)
-		settled(f)
+		prefetchAll(f)
 		f.advance(2 * time.Second)
 		f.extend()
 		waits, err := f.charge(1, limit.Burst/2)
@@ -334,21 +333,21 @@
 		Expect(f.holders[1].Reply(reply, f.clock(1))).To(BeEmpty())
 		f.lease = f.now
 		f.takeOver()
-		settleOwner(f)
-		before := len(f.oracle.events)
-		f.chargeHeld(1)
+		recoverOwner(f)
+		before := len(f.oracle.charges)
+		f.chargeUntilQueued(1)
 		spent := int64(0)
-		for _, e := range f.oracle.events[before:] {
+		for _, e := range f.oracle.charges[before:] {
 			spent += e.tokens
 		}
 		Expect(spent).To(BeNumerically("<=", limit.Burst/32))
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// Guards against refusals by the queue limit of an owner that does not exist any more.
-	It("holds calls inside the rate while a new owner collects statements", func() {
+	// Guards against refusals by the queue limit of an earlier owner.
+	It("queues calls inside the rate while a new owner is recovering", func() {
 		f := newFleet(2, limit)
-		settled(f)
+		prefetchAll(f)
 		f.advance(2 * time.Second)
 		f.extend()
 		f.exchange(0)
@@ -380,26 +379,26 @@
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// Half of the fleet cannot reach the new leader. The stocks of so many hosts could
-	// be a whole burst: the owner begins when they have lapsed.
-	It("waits until the stocks of many silent hosts have lapsed", func() {
+	// Guards against an owner that starts early although most of the fleet cannot reach it: the
+	// prefetched tokens of so many hosts could be a large part of the burst.
+	It("waits until the prefetched tokens of many unreachable hosts have expired", func() {
 		f := newFleet(20, limit)
-		settled(f)
+		prefetchAll(f)
 		f.lease = f.now
 		f.takeOver()
 		began := f.now
-		settleOwner(f)
+		recoverOwner(f)
 		Expect(f.now.Sub(began)).To(BeNumerically(">", workspace.GrantTTL))
 		for i := range f.holders {
-			f.chargeHeld(i)
+			f.chargeUntilQueued(i)
 		}
 		Expect(f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 		Expect(f.owner().Levels(f.now)[0].Free).To(BeNumerically("<", limit.Burst))
 	})
 
-	// An answer of the leader that was lost comes late, when a new one counts what is
-	// in it as never received.
-	It("charges nothing from a reply that comes after the wait for it", func() {
+	// Guards against charges from a delayed reply of an earlier leader, whose tokens a new owner
+	// counts as never received.
+	It("charges nothing from a reply that arrives after the reply timeout", func() {
 		f := newFleet(2, limit)
 		_, _ = f.charge(1, 500)
 		d := f.holders[1].Poll(f.clock(1))
@@ -409,11 +408,11 @@
 		Expect(f.holders[1].Reply(reply, f.clock(1))).To(BeEmpty())
 	})
 
-	// A caller inside its rate is refused for seconds after a change of leader, because
-	// the new owner starts from an empty bucket although all hosts can be asked.
-	It("grants at once when all hosts have told what they spent", func() {
+	// Guards against refused calls inside the rate for seconds after a leader change, because the
+	// new owner starts with an empty bucket although all hosts can report.
+	It("grants at once when all hosts have reported their charges", func() {
 		f := newFleet(3, limit)
-		f.advance(5 * time.Second) // longer than the window: each host can speak for all of it
+		f.advance(5 * time.Second) // longer than the window, so that each host's report covers all of it
 		f.extend()
 		_, _ = f.charge(0, 500)
 		f.exchange(0)
@@ -424,7 +423,7 @@
 			f.exchange(i)
 		}
 		Expect(f.owner().Ready()).To(BeTrue())
-		f.advance(settleStep)
+		f.advance(drawDelay)
 		waits, err := f.charge(1, 1200)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(waits).To(BeTrue())
@@ -432,10 +431,9 @@
 		Expect([]int{charged, refused}).To(Equal([]int{1, 0}))
 	})
 
-	// The leader is lost while most entry hosts are idle: a caller at a busy one is
-	// refused for a second, because the new owner waits for hosts that have nothing to
-	// say and so say nothing.
-	It("hears idle hosts within a quarter of a second", func() {
+	// Guards against refused calls for a second after a leader change while most entry hosts are
+	// idle: the new owner waits for hosts that have nothing to report and so send no message.
+	It("gets the reports of idle hosts within a quarter of a second", func() {
 		l := newLoadRun(1, 3, limit)
 		l.run(5000, func() {})
 		l.f.lease = l.f.now
@@ -445,8 +443,8 @@
 		Expect(l.f.owner().Levels(l.f.now)[0].Free).To(Equal(limit.Burst))
 	})
 
-	// At a first start all calls are refused until the buckets have filled, although
-	// nobody has used anything: the hosts are younger than the window.
+	// Guards against calls that are refused on a first start until the buckets have filled,
+	// although nothing was charged, because the uptime of the hosts is shorter than the window.
 	It("gives a workspace that is new under this owner its whole burst", func() {
 		o := workspace.NewOwner(1, nil, []workspace.HostKey{{Host: "h", Incarnation: "1"}}, start)
 		o.Extend(start.Add(time.Minute))
@@ -456,7 +454,7 @@
 		Expect(o.Levels(start)[0].Free).To(Equal(limit.Burst))
 	})
 
-	It("refuses for good what no wait can meet, and says when to come back otherwise", func() {
+	It("refuses a charge above the burst as too large, and others with a retry-after", func() {
 		f := newFleet(1, limit)
 		_, err := f.charge(0, 2001)
 		Expect(fault.Is(err, fault.TooLarge)).To(BeTrue())
@@ -474,35 +472,34 @@
 		Expect(e.RetryAfter).To(BeNumerically("~", time.Second, 10*time.Millisecond))
 	})
 
-	// A caller asks for so many tokens that their sum overflows; its workspace then has
-	// more to spend than before the call.
-	It("takes no charge below zero", func() {
+	// Guards against a request whose number of tokens overflows to a negative value: the charge
+	// would add tokens to the balance.
+	It("refuses a negative charge", func() {
 		f := newFleet(1, limit)
 		_, _, err := f.holders[0].Charge("a", ws, -1, f.now.Add(time.Hour), f.now)
 		Expect(fault.Is(err, fault.InvalidRequest)).To(BeTrue())
 	})
 
-	// A caller is told to slow down although it is inside its rate: no owner answers.
-	It("does not blame the rate when no owner answers", func() {
+	// Guards against fault.RateLimited for a call inside the rate when no owner responds.
+	It("does not report the rate as exceeded when no owner responds", func() {
 		f := newFleet(1, limit)
 		_, waits, err := f.holders[0].Charge("a", ws, 100, f.now.Add(time.Hour), f.now)
 		Expect(waits, err).To(BeTrue())
 		Expect(f.holders[0].Poll(f.now)).NotTo(BeNil())
 		f.now = f.now.Add(workspace.MaxWait)
-		Expect(f.holders[0].Tick(f.now)).To(BeEmpty(), "an owner may still come")
+		Expect(f.holders[0].Tick(f.now)).To(BeEmpty(), "a new owner may still respond")
 		f.now = f.now.Add(workspace.MaxOwnerWait - workspace.MaxWait)
 		outcomes := f.holders[0].Tick(f.now)
 		Expect(outcomes).To(HaveLen(1))
 		Expect(fault.Is(outcomes[0].Err, fault.NoQuorum)).To(BeTrue())
 	})
 
-	// The control leader dies, and for the second that the election takes callers
-	// inside their rate are refused as over it. They wait for the new owner instead,
-	// also while that one still collects what was spent.
-	It("lets calls wait through an election and the settling after it", func() {
+	// Guards against calls inside the rate that are refused as over it while a leader election
+	// takes place. They wait for the new owner, also while it is recovering its buckets.
+	It("lets calls wait through an election and the recovery after it", func() {
 		f := newFleet(2, limit)
-		settled(f)
-		f.now = f.now.Add(2 * time.Second) // what was held has lapsed, and no owner answers
+		prefetchAll(f)
+		f.now = f.now.Add(2 * time.Second) // the held grants have expired, and no owner responds
 		_, waits, err := f.holders[0].Charge("a", ws, 100, f.now.Add(time.Hour), f.now)
 		Expect(waits, err).To(BeTrue())
 		f.now = f.now.Add(2 * workspace.MaxWait)
@@ -521,5 +518,5 @@
 	})
 })
 
-// settleStep lets a holder send again after its first answer.
-const settleStep = 30 * time.Millisecond
+// drawDelay is long enough that a holder sends its next message after the first reply.
+const drawDelay = 30 * time.Millisecond
--- a/coord/workspace/workspace_test.go
+++ b/coord/workspace/workspace_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// init gives rapid a fixed seed, so that each run has the same verdict; the flags of
-// the command line win.
+// init gives rapid a fixed seed, so that results are reproducible. Command-line flags take
+// precedence.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -21,5 +21,5 @@
 	RunSpecs(t, "workspace")
 }
 
-// start is the beginning of virtual time.
+// start is the initial time of the simulated clock.
 var start = time.Unix(1_700_000_000, 0)
