--- a/coord/workspace/load_test.go
+++ b/coord/workspace/load_test.go
@@ -16,7 +16,7 @@
 type loadRun struct {
 	f                 *fleet
 	r                 *rand.Rand
-	scheduled         map[int64][]func() // callbacks by millisecond
+	timers            map[int64][]func() // callbacks by millisecond
 	ms                int64
 	asked             int // calls made
 	refused           int // of the calls made
@@ -27,10 +27,10 @@
 }
 
 func newLoadRun(seed int64, hosts int, limit workspace.Limit) *loadRun {
-	return &loadRun{f: newFleet(hosts, limit), r: rand.New(rand.NewSource(seed)), scheduled: map[int64][]func(){}}
+	return &loadRun{f: newFleet(hosts, limit), r: rand.New(rand.NewSource(seed)), timers: map[int64][]func(){}}
 }
 
-func (l *loadRun) after(ms int64, do func()) { l.scheduled[l.ms+ms] = append(l.scheduled[l.ms+ms], do) }
+func (l *loadRun) after(ms int64, do func()) { l.timers[l.ms+ms] = append(l.timers[l.ms+ms], do) }
 
 // run advances the time in steps of a millisecond and calls arrive in each.
 func (l *loadRun) run(ms int64, arrive func()) {
@@ -41,10 +41,10 @@
 			l.f.extend()
 		}
 		arrive()
-		for _, do := range l.scheduled[l.ms] {
+		for _, do := range l.timers[l.ms] {
 			do()
 		}
-		delete(l.scheduled, l.ms)
+		delete(l.timers, l.ms)
 		for i, h := range l.f.holders {
 			l.handleOutcomes(i, h.Tick(l.f.now))
 			if d := h.Poll(l.f.now); d != nil {
--- a/coord/workspace/wait_test.go
+++ b/coord/workspace/wait_test.go
@@ -15,18 +15,18 @@
 
 // steadyFleet simulates many entry hosts whose workspaces send about half of their rates.
 type steadyFleet struct {
-	now       time.Time
-	r         *rand.Rand
-	names     []string
-	limits    map[string]workspace.Limit
-	owner     *workspace.Owner
-	holders   []*workspace.Holder
-	scheduled map[int64][]func() // callbacks by millisecond
-	ms        int64
-	asked     map[string]int64 // arrival in ms, by call ID
-	waits     []time.Duration
-	refused   int
-	messages  int
+	now      time.Time
+	r        *rand.Rand
+	names    []string
+	limits   map[string]workspace.Limit
+	owner    *workspace.Owner
+	holders  []*workspace.Holder
+	timers   map[int64][]func() // callbacks by millisecond
+	ms       int64
+	asked    map[string]int64 // arrival in ms, by call ID
+	waits    []time.Duration
+	refused  int
+	messages int
 }
 
 const (
@@ -43,7 +43,7 @@
 var callSizes = []int64{200, 1500, 4000}
 
 func newSteadyFleet(hosts int) *steadyFleet {
-	f := &steadyFleet{now: start, r: rand.New(rand.NewSource(1)), limits: map[string]workspace.Limit{}, scheduled: map[int64][]func(){}, asked: map[string]int64{}}
+	f := &steadyFleet{now: start, r: rand.New(rand.NewSource(1)), limits: map[string]workspace.Limit{}, timers: map[int64][]func(){}, asked: map[string]int64{}}
 	perCall := (callSizes[0] + callSizes[1] + callSizes[2]) / int64(len(callSizes))
 	for i := range steadyWorkspaces {
 		name := fmt.Sprintf("w%02d", i)
@@ -60,9 +60,7 @@
 	return f
 }
 
-func (f *steadyFleet) after(ms int64, do func()) {
-	f.scheduled[f.ms+ms] = append(f.scheduled[f.ms+ms], do)
-}
+func (f *steadyFleet) after(ms int64, do func()) { f.timers[f.ms+ms] = append(f.timers[f.ms+ms], do) }
 
 func (f *steadyFleet) run(span time.Duration) {
 	for range span.Milliseconds() {
@@ -72,10 +70,10 @@
 		for n := f.r.ExpFloat64(); n < float64(callsPerHost*len(f.holders))/1000; n += f.r.ExpFloat64() {
 			f.call(f.r.Intn(len(f.holders)), f.names[f.r.Intn(len(f.names))])
 		}
-		for _, do := range f.scheduled[f.ms] {
+		for _, do := range f.timers[f.ms] {
 			do()
 		}
-		delete(f.scheduled, f.ms)
+		delete(f.timers, f.ms)
 		for i, h := range f.holders {
 			f.handleOutcomes(h.Tick(f.now))
 			if d := h.Poll(f.now); d != nil {
