--- a/coord/workspace/bucket.go
+++ b/coord/workspace/bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Load pattern: calls of one workspace arrive at many hosts, in bursts, and reserve more than they use.
+// Load pattern: calls arrive at many hosts, in bursts up to the limit, and reserve more than they use.
 // Without it: hosts spend old grants and a refilled bucket together, twice the burst at once;
 // a refund of tokens that the bucket had no headroom for since the charge has the same effect.
 // Rule: a refill stops when free plus granted tokens reach the burst; a refund is capped at the
--- a/coord/workspace/holder.go
+++ b/coord/workspace/holder.go
@@ -8,7 +8,7 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load pattern: bursts at changing entry hosts, hosts that fall idle with tokens left, frozen processes.
+// Load pattern: many small calls, bursts at changing hosts, idle hosts with tokens, frozen processes.
 // Without it: a host refuses calls while unused tokens are free or held by another host, and a
 // process that resumes after a freeze spends tokens that were granted to others meanwhile.
 // Rule: hosts ask the owner before they refuse, return unused tokens, and drop expired grants.
--- a/coord/workspace/overload_test.go
+++ b/coord/workspace/overload_test.go
@@ -141,8 +141,8 @@
 		Expect(l.f.oracle.overrun()).To(BeNumerically("<=", tolerance))
 	})
 
-	// Guards against lost tokens where all calls are small, as for a rate that is counted in
-	// calls: each call is then eligible to bypass the queue.
+	// Guards against lost calls where all calls are small, as for a rate that is counted in
+	// calls: each of them is then eligible to bypass the queue.
 	It("is served its rate where all its calls are small", func() {
 		o := playOverload(5, workspace.Limit{Rate: 200, Burst: 200}, 28, 8, 10*time.Second, 1)
 		AddReportEntry("served after", fmt.Sprintf("p50 %v p95 %v", quantile(o.servedAfter, 0.5), quantile(o.servedAfter, 0.95)))
--- a/coord/workspace/owner.go
+++ b/coord/workspace/owner.go
@@ -8,7 +8,7 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load pattern: all hosts charge the same workspaces; owners change; messages are lost or duplicated.
+// Load pattern: all hosts charge the same workspaces; owner changes, bad networks, frozen processes.
 // Without it: hosts that each enforce rate/hosts refuse calls inside the rate when callers are
 // spread unevenly, and hosts that each enforce the whole rate exceed it.
 // Rule: one owner grants tokens, and grants expire. Grants ahead of need are a small part of the
@@ -203,7 +203,7 @@
 }
 
 // applyItem updates a bucket with the tokens that the holder spent, returned or never
-// received. Lost tells that the holder did not apply the newest reply.
+// received. Lost is true if the holder has not applied the newest reply.
 func (o *Owner) applyItem(d *Draw, item DrawItem, h *holding, lost bool, now time.Time) {
 	b, known := o.buckets[item.Workspace]
 	if !known {
--- a/coord/workspace/settle.go
+++ b/coord/workspace/settle.go
@@ -9,8 +9,8 @@
 // Load pattern: the control leader fails while all entry hosts spend tokens.
 // Without it: a new owner with full buckets grants a second burst at once, and one with empty
 // buckets refuses calls inside the rate for burst/rate seconds.
-// Rule: free = burst - charged - held, summed over the reports of all hosts that may hold grants;
-// see tryRecover for unreachable hosts.
+// Rule: free = burst - charged - held by the reports of all hosts. If a host does not report, the
+// bucket starts empty and the host's prefetched tokens count as granted until they expire.
 
 // recovery is the state that a new owner collects from the holders to rebuild its buckets.
 type recovery struct {
--- a/coord/workspace/small.go
+++ b/coord/workspace/small.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Load pattern: a workspace over its rate calls plain services and models, which take 10 to 100 times the tokens.
+// Load pattern: a workspace over its rate calls plain services, and models at 10 to 100 times the tokens.
 // Without it: small calls queue behind the large ones and are refused because of them.
 // Rule: a small call bypasses the queue, one at a time from each host, until such calls take a
 // third of the rate. Beyond that they are queued like all others, so that a flood of small
