--- a/coord/fair/fair_test.go
+++ b/coord/fair/fair_test.go
@@ -94,8 +94,8 @@
 		for n := range 100 {
 			q.Push(item(n, "large", fair.Interactive, 1, 100))
 		}
-		Expect(q.Ahead("small", 1, fair.Interactive)).To(BeNumerically("<=", 100))
-		Expect(q.Ahead("large", 1, fair.Interactive)).To(Equal(int64(10_000)))
+		Expect(q.TokensAhead("small", 1, fair.Interactive)).To(BeNumerically("<=", 100))
+		Expect(q.TokensAhead("large", 1, fair.Interactive)).To(Equal(int64(10_000)))
 	})
 
 	It("keeps its sums and its items, whatever comes and goes", func() {
--- a/coord/fair/queue.go
+++ b/coord/fair/queue.go
@@ -20,13 +20,13 @@
 	Interactive Band = iota
 	ByDeadline
 	MustFinish
-	Bands // the number of bands
+	NumBands // the number of bands
 )
 
 // minimumShare is the fraction of the tokens that a band gets at least while it has waiting
 // items. 10% for MustFinish lets it progress and adds at most 1/9 to the wait of interactive
 // work. 25% for ByDeadline exceeds the share of such work in the deployments served.
-var minimumShare = [Bands]float64{ByDeadline: 0.25, MustFinish: 0.10}
+var minimumShare = [NumBands]float64{ByDeadline: 0.25, MustFinish: 0.10}
 
 // creditCap is the maximum credit of a band, in multiples of the cost of its next item. It
 // keeps a band that waited long from being served many items in a row.
@@ -46,10 +46,10 @@
 // Queue holds waiting items. The zero value is an empty queue.
 type Queue struct {
 	workspaces  map[string]*workspaceQueue
-	virtualTime float64        // highest start tag of an item served so far
-	credit      [Bands]float64 // tokens that a waiting band is owed
-	waiting     [Bands]int     // number of items
-	tokens      int64          // expected cost of all items
+	virtualTime float64           // highest start tag of an item served so far
+	credit      [NumBands]float64 // tokens that a waiting band is owed
+	waiting     [NumBands]int     // number of items
+	tokens      int64             // expected cost of all items
 }
 
 // workspaceQueue holds the waiting items of one workspace.
@@ -57,8 +57,8 @@
 	name       string
 	startTag   float64 // virtual start time of its next item
 	weight     int64
-	items      [Bands][]Item
-	bandTokens [Bands]int64 // expected cost of the items
+	items      [NumBands][]Item
+	bandTokens [NumBands]int64 // expected cost of the items
 }
 
 // Len returns the number of waiting items.
@@ -156,8 +156,8 @@
 // bandOrder returns the order in which Pop tries the bands. Bands with enough credit for
 // their next item are tried before all others, the lowest priority first.
 func (q *Queue) bandOrder() []Band {
-	order := make([]Band, 0, 2*Bands)
-	for b := Bands - 1; b > Interactive; b-- {
+	order := make([]Band, 0, 2*NumBands)
+	for b := NumBands - 1; b > Interactive; b-- {
 		if w, _ := q.pick(b, firstItem); w != nil && q.credit[b] >= float64(w.items[b][0].Tokens) {
 			order = append(order, b)
 		}
@@ -195,7 +195,7 @@
 // updateCredit credits each waiting band with its minimum share of the served item's tokens
 // and debits the item's own band.
 func (q *Queue) updateCredit(it Item) {
-	for b := ByDeadline; b < Bands; b++ {
+	for b := ByDeadline; b < NumBands; b++ {
 		switch {
 		case b == it.Band:
 			q.credit[b] = max(0, q.credit[b]-float64(it.Tokens)*(1-minimumShare[b]))
@@ -213,10 +213,10 @@
 	return creditCap * float64(w.items[b][0].Tokens)
 }
 
-// Ahead returns the expected cost, in tokens, of the items that would be served before a
+// TokensAhead returns the expected cost, in tokens, of the items that would be served before a
 // new item of a workspace and band: the workspace's own items, and those of each other
 // workspace that its fair share allows until the new item's start tag.
-func (q *Queue) Ahead(workspace string, weight int64, b Band) int64 {
+func (q *Queue) TokensAhead(workspace string, weight int64, b Band) int64 {
 	turn := q.virtualTime
 	own := int64(0)
 	if w, known := q.workspaces[workspace]; known {
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -49,16 +49,16 @@
 	now      time.Time
 	fencing  uint64
 	replicas map[string]*coordpb.Replica
-	status   map[string]*placement.Target
+	status   map[string]*placement.TargetStatus
 	reasons  map[string]placement.Reason
 }
 
 func newHarness(c *config.Configuration) *harness {
 	h := &harness{planner: placement.New(placement.DefaultSettings()), config: c, now: startTime,
-		replicas: map[string]*coordpb.Replica{}, status: map[string]*placement.Target{}, reasons: map[string]placement.Reason{}}
+		replicas: map[string]*coordpb.Replica{}, status: map[string]*placement.TargetStatus{}, reasons: map[string]placement.Reason{}}
 	h.planner.Configure(c, h.now)
 	for name := range c.Targets {
-		h.status[name] = &placement.Target{Name: name, Live: true}
+		h.status[name] = &placement.TargetStatus{Name: name, Live: true}
 	}
 	h.updateTargets()
 	h.advance(time.Second) // a new planner assumes that the store's rate window is full
@@ -68,7 +68,7 @@
 func (h *harness) advance(d time.Duration) { h.now = h.now.Add(d) }
 
 func (h *harness) updateTargets() {
-	list := []placement.Target{}
+	list := []placement.TargetStatus{}
 	for _, t := range h.status {
 		list = append(list, *t)
 	}
@@ -256,7 +256,7 @@
 		c := newConfig(1, 3)
 		p := placement.New(placement.DefaultSettings())
 		p.Configure(c, startTime)
-		p.SetTargets([]placement.Target{{Name: "t0000", Live: true}}, startTime)
+		p.SetTargets([]placement.TargetStatus{{Name: "t0000", Live: true}}, startTime)
 		ask := func(now time.Time) []placement.Decision {
 			p.ObserveDemand("entry", []placement.Demand{{Model: "m000", Waiting: 1, EarliestDeadline: now.Add(time.Minute)}}, now)
 			return p.Plan(now)
--- a/coord/placement/planner.go
+++ b/coord/placement/planner.go
@@ -67,7 +67,7 @@
 }
 
 // SetTargets sets the status of all targets. A target that is not listed is not live.
-func (p *Planner) SetTargets(list []Target, _ time.Time) {
+func (p *Planner) SetTargets(list []TargetStatus, _ time.Time) {
 	for _, t := range p.targets {
 		t.live = false
 	}
--- a/coord/placement/types.go
+++ b/coord/placement/types.go
@@ -26,8 +26,8 @@
 	Reason Reason
 }
 
-// Target is the current status of a target.
-type Target struct {
+// TargetStatus is the current status of a target.
+type TargetStatus struct {
 	Name    string
 	Live    bool // its agent renews its lease and its engine responds
 	Leaving bool // it is being drained and takes no new loads
--- a/coord/request/admission.go
+++ b/coord/request/admission.go
@@ -87,11 +87,11 @@
 	return d
 }
 
-// Arrive queues a new call. Errors: fault.Overloaded when the bounds are reached or the
+// Enqueue queues a new call. Errors: fault.Overloaded when the bounds are reached or the
 // estimated wait exceeds the deadline, fault.NoCapacity when no replica can be ready in
 // time or no target can hold the destination. Both carry a RetryAfter, except when no
 // target can hold the destination.
-func (a *Admission) Arrive(p Pending, now time.Time) error {
+func (a *Admission) Enqueue(p Pending, now time.Time) error {
 	if a.has(p.ID) {
 		return fault.New(fault.Internal, "request %s is already queued or running", p.ID)
 	}
@@ -145,10 +145,10 @@
 	}
 }
 
-// Forecast records when a destination is expected to have a replica; possible is false if
+// SetForecast records when a destination is expected to have a replica; possible is false if
 // no target can hold it. It returns the queued calls that cannot meet their deadline under
 // this forecast; they are no longer queued.
-func (a *Admission) Forecast(name string, possible bool, readyAt, now time.Time) []Refusal {
+func (a *Admission) SetForecast(name string, possible bool, readyAt, now time.Time) []Refusal {
 	d := a.destination(name)
 	d.possible, d.readyAt = possible, readyAt
 	return a.refuseIf(name, func(p Pending) error {
@@ -219,10 +219,10 @@
 	return Pending{}, false
 }
 
-// Again requeues a started call that was refused without having run; it returns to its
+// Requeue requeues a started call that was refused without having run; it returns to its
 // place in the order. The caller must have checked the retry budget. Error:
 // fault.Overloaded when the call can no longer meet its deadline; it is then removed.
-func (a *Admission) Again(id string, now time.Time) error {
+func (a *Admission) Requeue(id string, now time.Time) error {
 	p, known := a.running[id]
 	if !known {
 		return fault.New(fault.Internal, "request %s is not running", id)
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// Overload records that an agent refused a started call because of overload.
-func (a *Admission) Overload(id string, now time.Time) {
+// ReportOverload records that an agent refused a started call because of overload.
+func (a *Admission) ReportOverload(id string, now time.Time) {
 	if p, known := a.running[id]; known {
 		a.destination(p.Destination).classQueue(p).decreaseWindow(p.Class.Band, now)
 	}
@@ -264,8 +264,8 @@
 	q.queue.Adjust(p.Workspace, p.Weight, max(1, p.Tokens), served)
 	if took > 0 {
 		// A larger margin makes queued calls expire earlier, by at most this amount.
-		a.nextExpiry = a.nextExpiry.Add(-q.speed.Observe(p.Class.Band, took))
-		q.speed.End(now, max(1, p.Tokens), q.queue.Len() > 0)
+		a.nextExpiry = a.nextExpiry.Add(-q.stats.Observe(p.Class.Band, took))
+		q.stats.ObserveEnd(now, max(1, p.Tokens), q.queue.Len() > 0)
 	}
 }
 
@@ -281,8 +281,8 @@
 	return true
 }
 
-// Withdraw removes and returns the queued calls that were made with a withdrawn key.
-func (a *Admission) Withdraw(keyID string) []Refusal {
+// RevokeKey removes and returns the queued calls that were made with a withdrawn key.
+func (a *Admission) RevokeKey(keyID string) []Refusal {
 	var refusals []Refusal
 	for _, name := range slices.Sorted(maps.Keys(a.destinations)) {
 		refusals = append(refusals, a.refuseIf(name, func(p Pending) error {
@@ -329,7 +329,7 @@
 	return a.nextExpiry
 }
 
-// Held returns the number of calls, queued and running, and the bytes of their bodies.
-func (a *Admission) Held() (calls int, bytes int64) {
+// Usage returns the number of calls, queued and running, and the bytes of their bodies.
+func (a *Admission) Usage() (calls int, bytes int64) {
 	return a.calls, a.bytes
 }
--- a/coord/request/admission_test.go
+++ b/coord/request/admission_test.go
@@ -28,30 +28,30 @@
 		a := request.NewAdmission(request.Bounds{Calls: 100, Bytes: 10_000})
 		refused := 0
 		for n := range 200 {
-			if err := a.Arrive(newPending(n, "large", start), start); err != nil {
+			if err := a.Enqueue(newPending(n, "large", start), start); err != nil {
 				Expect(fault.From(err).RetryAfter).To(BeNumerically(">", 0))
 				refused++
 			}
 		}
 		Expect(refused).To(Equal(150))
 		for n := range 20 {
-			Expect(a.Arrive(newPending(1000+n, "small", start), start)).To(Succeed())
+			Expect(a.Enqueue(newPending(1000+n, "small", start), start)).To(Succeed())
 		}
 		big := newPending(2000, "other", start)
 		big.Bytes = 9_500
-		Expect(fault.Is(a.Arrive(big, start), fault.Overloaded)).To(BeTrue())
+		Expect(fault.Is(a.Enqueue(big, start), fault.Overloaded)).To(BeTrue())
 	})
 
 	// Guards against starting a call that was queued before its key was withdrawn.
 	It("starts nothing of a withdrawn key", func() {
 		a := request.NewAdmission(request.Bounds{Calls: 100, Bytes: 10_000})
-		a.Forecast(dest, true, start.Add(time.Second), start)
-		Expect(a.Arrive(newPending(1, "a", start), start)).To(Succeed())
-		Expect(a.Arrive(newPending(2, "b", start), start)).To(Succeed())
-		refusals := a.Withdraw("key-a")
+		a.SetForecast(dest, true, start.Add(time.Second), start)
+		Expect(a.Enqueue(newPending(1, "a", start), start)).To(Succeed())
+		Expect(a.Enqueue(newPending(2, "b", start), start)).To(Succeed())
+		refusals := a.RevokeKey("key-a")
 		Expect(refusals).To(HaveLen(1))
 		Expect(fault.Is(refusals[0].Err, fault.Unauthenticated)).To(BeTrue())
-		a.Forecast(dest, true, start.Add(time.Second), start)
+		a.SetForecast(dest, true, start.Add(time.Second), start)
 		next, ok := a.Next(dest, start.Add(time.Second))
 		Expect(ok).To(BeTrue())
 		Expect(next.ID).To(Equal("2"))
@@ -62,12 +62,12 @@
 	It("still admits calls to a destination after slow runs", func() {
 		a := request.NewAdmission(request.Bounds{Calls: 100, Bytes: 10_000})
 		for n := range 20 {
-			Expect(a.Arrive(newPending(n, "a", start), start)).To(Succeed())
+			Expect(a.Enqueue(newPending(n, "a", start), start)).To(Succeed())
 			next, ok := a.Next(dest, start)
 			Expect(ok).To(BeTrue())
 			a.Done(next.ID, 50, 20*time.Second, start)
 		}
-		Expect(a.Arrive(newPending(99, "a", start), start)).To(Succeed())
+		Expect(a.Enqueue(newPending(99, "a", start), start)).To(Succeed())
 		_, ok := a.Next(dest, start)
 		Expect(ok).To(BeTrue())
 	})
@@ -101,7 +101,7 @@
 					p := newPending(n, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "ws"), now)
 					p.Class.Band = fair.Band(rapid.IntRange(0, 2).Draw(t, "band"))
 					p.Bytes = rapid.Int64Range(0, 60).Draw(t, "bytes")
-					if a.Arrive(p, now) == nil {
+					if a.Enqueue(p, now) == nil {
 						waiting[p.ID] = p
 					}
 				},
@@ -123,8 +123,8 @@
 				},
 				"again": func(t *rapid.T) {
 					id := anyOf(t, running)
-					a.Overload(id, now)
-					if a.Again(id, now) == nil {
+					a.ReportOverload(id, now)
+					if a.Requeue(id, now) == nil {
 						waiting[id] = running[id]
 					}
 					delete(running, id)
@@ -146,9 +146,9 @@
 					}
 				},
 				"forecast": func(t *rapid.T) {
-					drop(a.Forecast(dest, rapid.Bool().Draw(t, "possible"), now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms"))*time.Millisecond), now))
+					drop(a.SetForecast(dest, rapid.Bool().Draw(t, "possible"), now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms"))*time.Millisecond), now))
 				},
-				"withdraw": func(t *rapid.T) { drop(a.Withdraw("key-a")) },
+				"withdraw": func(t *rapid.T) { drop(a.RevokeKey("key-a")) },
 				"": func(t *rapid.T) {
 					bytes := int64(0)
 					for _, m := range []map[string]request.Pending{waiting, running} {
@@ -156,7 +156,7 @@
 							bytes += p.Bytes
 						}
 					}
-					calls, held := a.Held()
+					calls, held := a.Usage()
 					if calls != len(waiting)+len(running) || held != bytes || calls > 12 || held > 200 {
 						t.Fatalf("holds %d calls and %d bytes, want %d and %d", calls, held, len(waiting)+len(running), bytes)
 					}
@@ -172,7 +172,7 @@
 			a := request.NewAdmission(request.Bounds{Calls: 1 << 20, Bytes: 1 << 40})
 			now := start
 			for n := range waiting {
-				_ = a.Arrive(newPending(n, fmt.Sprint("w", n%5), now), now)
+				_ = a.Enqueue(newPending(n, fmt.Sprint("w", n%5), now), now)
 			}
 			p := newPending(0, "w1", now)
 			ids := make([]string, 1<<14)
@@ -183,7 +183,7 @@
 			for n := 0; b.Loop(); n++ {
 				p.ID = ids[n%len(ids)]
 				p.Arrived = p.Arrived.Add(time.Microsecond)
-				if err := a.Arrive(p, now); err != nil {
+				if err := a.Enqueue(p, now); err != nil {
 					b.Fatal(err)
 				}
 				next, _ := a.Next(dest, now)
--- a/coord/request/attempt.go
+++ b/coord/request/attempt.go
@@ -128,9 +128,9 @@
 	return true
 }
 
-// Accept records that the target has begun to answer. It reports false for an attempt that
+// MarkAccepted records that the target has begun to answer. It reports false for an attempt that
 // has ended; its late reply must be dropped.
-func (c *Call) Accept(a *Attempt) bool {
+func (c *Call) MarkAccepted(a *Attempt) bool {
 	if a.state != HandedOver {
 		return false
 	}
@@ -138,9 +138,9 @@
 	return true
 }
 
-// Finish records that the answer is complete. It reports false for an attempt that has
+// MarkFinished records that the answer is complete. It reports false for an attempt that has
 // ended.
-func (c *Call) Finish(a *Attempt) bool {
+func (c *Call) MarkFinished(a *Attempt) bool {
 	if a.state != HandedOver && a.state != Accepted {
 		return false
 	}
@@ -165,10 +165,10 @@
 	return &e
 }
 
-// Answer sets the call's final answer: err, or nil for a complete answer. It reports false
+// Resolve sets the call's final answer: err, or nil for a complete answer. It reports false
 // if the call already has one. On an error, attempts that have not ended are abandoned, and
 // their late replies are dropped.
-func (c *Call) Answer(err error) (*fault.Error, bool) {
+func (c *Call) Resolve(err error) (*fault.Error, bool) {
 	if c.answered {
 		return nil, false
 	}
--- a/coord/request/attempt_test.go
+++ b/coord/request/attempt_test.go
@@ -25,7 +25,7 @@
 		Expect(e.Ran).To(Equal(fault.RanUnknown))
 		_, err = c.Begin("a2", "t2", start)
 		Expect(err).To(HaveOccurred())
-		final, ok := c.Answer(e)
+		final, ok := c.Resolve(e)
 		Expect(ok).To(BeTrue())
 		Expect(final.Ran).To(Equal(fault.RanUnknown))
 		Expect(final.Kind).To(Equal(fault.TargetFailed))
@@ -48,13 +48,13 @@
 		c := request.NewCall("c", "w", interactive, start.Add(time.Second))
 		a, _ := c.Begin("a1", "t1", start)
 		c.HandOver(a, start)
-		final, ok := c.Answer(fault.New(fault.Expired, "the deadline passed"))
+		final, ok := c.Resolve(fault.New(fault.Expired, "the deadline passed"))
 		Expect(ok).To(BeTrue())
 		Expect(final.Kind).To(Equal(fault.Timeout))
 		Expect(final.Ran).To(Equal(fault.RanUnknown))
-		Expect(c.Accept(a)).To(BeFalse())
-		Expect(c.Finish(a)).To(BeFalse())
-		_, ok = c.Answer(nil)
+		Expect(c.MarkAccepted(a)).To(BeFalse())
+		Expect(c.MarkFinished(a)).To(BeFalse())
+		_, ok = c.Resolve(nil)
 		Expect(ok).To(BeFalse())
 	})
 
@@ -106,10 +106,10 @@
 					}
 				},
 				"fail":   func(t *rapid.T) { c.Fail(pick(t), kind(t), false) },
-				"accept": func(t *rapid.T) { c.Accept(pick(t)) },
-				"finish": func(t *rapid.T) { c.Finish(pick(t)) },
+				"accept": func(t *rapid.T) { c.MarkAccepted(pick(t)) },
+				"finish": func(t *rapid.T) { c.MarkFinished(pick(t)) },
 				"answer": func(t *rapid.T) {
-					e, ok := c.Answer(kind(t))
+					e, ok := c.Resolve(kind(t))
 					if ok {
 						answers++
 					}
--- a/coord/request/backlog.go
+++ b/coord/request/backlog.go
@@ -22,8 +22,8 @@
 // NewBacklog returns a Backlog that estimates no wait until a run is recorded.
 func NewBacklog() *Backlog { return &Backlog{mean: map[string]float64{}, sent: map[string]int{}} }
 
-// Ran records how long a request ran.
-func (b *Backlog) Ran(service string, took time.Duration) {
+// RecordRun records how long a request ran.
+func (b *Backlog) RecordRun(service string, took time.Duration) {
 	mean, known := b.mean[service]
 	if !known {
 		mean = took.Seconds()
@@ -31,9 +31,9 @@
 	b.mean[service] = mean + runMeanWeight*(took.Seconds()-mean)
 }
 
-// LongestRun returns the largest mean run time of any service, or zero if no run is
+// LongestMeanRun returns the largest mean run time of any service, or zero if no run is
 // recorded.
-func (b *Backlog) LongestRun() time.Duration {
+func (b *Backlog) LongestMeanRun() time.Duration {
 	longest := 0.0
 	for _, mean := range b.mean {
 		longest = max(longest, mean)
@@ -41,11 +41,11 @@
 	return time.Duration(longest * float64(time.Second))
 }
 
-// Started records a request that was sent to a target and is not in its latest report yet.
-func (b *Backlog) Started(target string) { b.sent[target]++ }
+// RecordStart records a request that was sent to a target and is not in its latest report yet.
+func (b *Backlog) RecordStart(target string) { b.sent[target]++ }
 
-// Reported records that new reports of all targets have arrived.
-func (b *Backlog) Reported() { clear(b.sent) }
+// ResetStarts records that new reports of all targets have arrived.
+func (b *Backlog) ResetStarts() { clear(b.sent) }
 
 // Wait returns how long a request that is sent to a target now is expected to be queued:
 // the time in which the requests queued before it start, at the rate at which running
@@ -76,10 +76,10 @@
 	maxQueueRetryAfter = 2 * time.Second
 )
 
-// WorthWaiting reports whether a request should join a queue with the estimated wait. Spent
+// ShouldQueue reports whether a request should join a queue with the estimated wait. Spent
 // is the time since its arrival, latency the target latency of its route, and timeout the
 // time after which its caller gives up.
-func WorthWaiting(wait, spent, latency, timeout time.Duration) bool {
+func ShouldQueue(wait, spent, latency, timeout time.Duration) bool {
 	if wait <= 0 {
 		return true
 	}
@@ -89,8 +89,8 @@
 	return wait <= time.Duration(lateWaitShare*float64(timeout))
 }
 
-// ComeBack returns the time after which a caller that was refused because of a queue may
+// QueueRetryAfter returns the time after which a caller that was refused because of a queue may
 // retry: the estimated wait, within bounds.
-func ComeBack(wait time.Duration) time.Duration {
+func QueueRetryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, minQueueRetryAfter), maxQueueRetryAfter)
 }
--- a/coord/request/backlog_test.go
+++ b/coord/request/backlog_test.go
@@ -16,19 +16,19 @@
 	It("is zero while a slot is free and before a run is recorded", func() {
 		b := request.NewBacklog()
 		Expect(b.Wait("t", "s", 8, 5, 8)).To(BeZero())
-		b.Ran("s", 2*time.Second)
+		b.RecordRun("s", 2*time.Second)
 		Expect(b.Wait("t", "s", 3, 0, 8)).To(BeZero())
 	})
 
 	It("counts the queued requests and those sent since the latest report", func() {
 		b := request.NewBacklog()
-		b.Ran("s", 2*time.Second)
+		b.RecordRun("s", 2*time.Second)
 		Expect(b.Wait("t", "s", 8, 4, 8)).To(Equal(time.Second))
 		for range 4 {
-			b.Started("t")
+			b.RecordStart("t")
 		}
 		Expect(b.Wait("t", "s", 8, 4, 8)).To(Equal(2 * time.Second))
-		b.Reported()
+		b.ResetStarts()
 		Expect(b.Wait("t", "s", 8, 4, 8)).To(Equal(time.Second))
 	})
 
@@ -38,7 +38,7 @@
 	It("keeps queued requests within the target latency, and no slot idle, at twice the load", func() {
 		const slots = 8
 		b := request.NewBacklog()
-		b.Ran("s", 200*time.Millisecond)
+		b.RecordRun("s", 200*time.Millisecond)
 		served, inTime := 0, 0
 		var free [slots]time.Duration // when each slot is free
 		var begins []time.Duration    // start times of the queued requests
@@ -52,8 +52,8 @@
 					running++
 				}
 			}
-			b.Reported()
-			if !request.WorthWaiting(b.Wait("t", "s", running, len(begins), slots), 0, latency, timeout) {
+			b.ResetStarts()
+			if !request.ShouldQueue(b.Wait("t", "s", running, len(begins), slots), 0, latency, timeout) {
 				continue
 			}
 			slot := 0
@@ -76,15 +76,15 @@
 	})
 
 	It("lets a request that is already late wait longer, but not past its caller's timeout", func() {
-		Expect(request.WorthWaiting(200*time.Millisecond, 0, latency, timeout)).To(BeTrue())
-		Expect(request.WorthWaiting(600*time.Millisecond, 0, latency, timeout)).To(BeFalse())
-		Expect(request.WorthWaiting(600*time.Millisecond, time.Second, latency, timeout)).To(BeTrue())
-		Expect(request.WorthWaiting(2*time.Second, time.Second, latency, timeout)).To(BeFalse())
+		Expect(request.ShouldQueue(200*time.Millisecond, 0, latency, timeout)).To(BeTrue())
+		Expect(request.ShouldQueue(600*time.Millisecond, 0, latency, timeout)).To(BeFalse())
+		Expect(request.ShouldQueue(600*time.Millisecond, time.Second, latency, timeout)).To(BeTrue())
+		Expect(request.ShouldQueue(2*time.Second, time.Second, latency, timeout)).To(BeFalse())
 	})
 
 	It("returns the estimated wait as the time to retry after, within bounds", func() {
-		Expect(request.ComeBack(time.Millisecond)).To(Equal(250 * time.Millisecond))
-		Expect(request.ComeBack(700 * time.Millisecond)).To(Equal(700 * time.Millisecond))
-		Expect(request.ComeBack(time.Minute)).To(Equal(2 * time.Second))
+		Expect(request.QueueRetryAfter(time.Millisecond)).To(Equal(250 * time.Millisecond))
+		Expect(request.QueueRetryAfter(700 * time.Millisecond)).To(Equal(700 * time.Millisecond))
+		Expect(request.QueueRetryAfter(time.Minute)).To(Equal(2 * time.Second))
 	})
 })
--- a/coord/request/bench_test.go
+++ b/coord/request/bench_test.go
@@ -147,7 +147,7 @@
 	}
 	s.calls = append(s.calls, c)
 	s.byID[id] = c
-	if err := e.admission.Arrive(c.pending, s.now); err != nil {
+	if err := e.admission.Enqueue(c.pending, s.now); err != nil {
 		s.answer(c, err)
 		return c
 	}
@@ -182,7 +182,7 @@
 }
 
 func (s *simulation) answer(c *simCall, err error) {
-	e, ok := c.call.Answer(err)
+	e, ok := c.call.Resolve(err)
 	if !ok {
 		return
 	}
@@ -270,10 +270,10 @@
 	a := c.attempt
 	s.after(networkDelay, func() {
 		c.entry.inFlight[t]--
-		if !c.call.Finish(a) || c.answers > 0 {
+		if !c.call.MarkFinished(a) || c.answers > 0 {
 			return
 		}
-		c.entry.budget.Success()
+		c.entry.budget.RecordSuccess()
 		c.entry.circuits[t].RecordSuccess(s.now)
 		c.entry.admission.Done(c.call.ID, c.tokens, s.now.Sub(c.handedOver), s.now)
 		s.answer(c, nil)
@@ -289,7 +289,7 @@
 	}
 	e := c.call.Fail(a, err, true)
 	if e.Kind == fault.Overloaded {
-		c.entry.admission.Overload(c.call.ID, s.now)
+		c.entry.admission.ReportOverload(c.call.ID, s.now)
 		c.entry.overloadedUntil[t] = s.now.Add(e.RetryAfter)
 	}
 	pause, again := c.entry.budget.Retry(c.call, e, s.now, s.r)
@@ -303,7 +303,7 @@
 		if c.answers > 0 {
 			return
 		}
-		if err := c.entry.admission.Again(c.call.ID, s.now); err != nil {
+		if err := c.entry.admission.Requeue(c.call.ID, s.now); err != nil {
 			s.answer(c, err)
 		}
 		s.startCalls(c.entry)
--- a/coord/request/budget.go
+++ b/coord/request/budget.go
@@ -41,8 +41,8 @@
 	return &RetryBudget{retryTokens: retryReserve, requeueTokens: requeueReserve}
 }
 
-// Success records a call that was answered.
-func (b *RetryBudget) Success() {
+// RecordSuccess records a call that was answered.
+func (b *RetryBudget) RecordSuccess() {
 	b.retryTokens = min(retryReserve, b.retryTokens+retryRatio)
 	b.requeueTokens = min(requeueReserve, b.requeueTokens+requeueRatio)
 }
@@ -58,7 +58,7 @@
 // Retry decides whether a call is retried after a failed attempt, and after which pause. A
 // refusal that only shows that the routing view is stale (not_here, leaving) is retried at
 // once and needs no budget. After a refusal for overload the call is requeued
-// (Admission.Again); if the budget is empty, the refusal is the final answer.
+// (Admission.Requeue); if the budget is empty, the refusal is the final answer.
 func (b *RetryBudget) Retry(c *Call, e *fault.Error, now time.Time, r *rand.Rand) (pause time.Duration, again bool) {
 	if !c.MayRepeat() || c.PossibleRuns() >= MaxAttempts || !retryable(e) {
 		return 0, false
--- a/coord/request/class.go
+++ b/coord/request/class.go
@@ -16,8 +16,8 @@
 	Repeatable bool          // idempotent: may be retried after hand-over
 }
 
-// ClassOf returns the class that the configuration spec describes.
-func ClassOf(spec config.ClassSpec) Class {
+// NewClass returns the class that the configuration spec describes.
+func NewClass(spec config.ClassSpec) Class {
 	c := Class{Name: spec.Name, Deadline: spec.Deadline, Repeatable: spec.Repeatable}
 	switch spec.Urgency {
 	case config.UrgencyMustFinish:
--- a/coord/request/fleetbudget.go
+++ b/coord/request/fleetbudget.go
@@ -30,15 +30,15 @@
 	base     time.Time // start of slot 0; carries the monotonic clock
 }
 
-// Request records the first attempt of a request.
-func (b *FleetBudget) Request(now time.Time) {
+// RecordRequest records the first attempt of a request.
+func (b *FleetBudget) RecordRequest(now time.Time) {
 	b.advance(now)
 	b.requests[b.slot%windowSlots]++
 }
 
-// Repeat takes one retry from the budget of a host in a fleet of that many hosts. It reports
+// TryRetry takes one retry from the budget of a host in a fleet of that many hosts. It reports
 // false if none is left.
-func (b *FleetBudget) Repeat(hosts int, now time.Time) bool {
+func (b *FleetBudget) TryRetry(hosts int, now time.Time) bool {
 	b.advance(now)
 	requests, retries := 0.0, 0.0
 	for i := range windowSlots {
--- a/coord/request/fleetbudget_test.go
+++ b/coord/request/fleetbudget_test.go
@@ -25,9 +25,9 @@
 		for i := range 6000 {
 			at := start.Add(time.Duration(i) * 10 * time.Millisecond)
 			b := budgets[i%hosts]
-			b.Request(at)
+			b.RecordRequest(at)
 			requests = append(requests, at)
-			for b.Repeat(hosts, at) {
+			for b.TryRetry(hosts, at) {
 				retries = append(retries, at)
 			}
 		}
@@ -48,9 +48,9 @@
 
 	It("allows a retry again after the window has passed", func() {
 		b := &request.FleetBudget{Ratio: 0.2, Reserve: 10, Window: 10 * time.Second}
-		for b.Repeat(1, start) {
+		for b.TryRetry(1, start) {
 		}
-		Expect(b.Repeat(1, start.Add(time.Second))).To(BeFalse())
-		Expect(b.Repeat(1, start.Add(11*time.Second))).To(BeTrue())
+		Expect(b.TryRetry(1, start.Add(time.Second))).To(BeFalse())
+		Expect(b.TryRetry(1, start.Add(11*time.Second))).To(BeTrue())
 	})
 })
--- a/coord/request/lane.go
+++ b/coord/request/lane.go
@@ -27,7 +27,7 @@
 
 // destination is the state that an entry host keeps for one model or service.
 type destination struct {
-	queues   [fair.Bands]classQueue
+	queues   [fair.NumBands]classQueue
 	readyAt  time.Time // forecast: no replica is ready before this time
 	possible bool
 }
@@ -39,7 +39,7 @@
 	inFlight     int
 	window       float64
 	lastDecrease time.Time
-	speed        fair.Speed
+	stats        fair.ServiceStats
 }
 
 func newDestination() *destination {
@@ -65,7 +65,7 @@
 // decreaseWindow is the multiplicative decrease after a refusal for overload, at most once
 // per mean service time.
 func (q *classQueue) decreaseWindow(b fair.Band, now time.Time) {
-	if now.Sub(q.lastDecrease) < q.speed.Mean(b) {
+	if now.Sub(q.lastDecrease) < q.stats.Mean(b) {
 		return
 	}
 	q.lastDecrease = now
@@ -78,13 +78,13 @@
 	if q.queue.Len() == 0 && q.hasRoom() {
 		return 0
 	}
-	return q.speed.Drain(q.queue.Ahead(p.Workspace, p.Weight, p.Class.Band))
+	return q.stats.DrainTime(q.queue.TokensAhead(p.Workspace, p.Weight, p.Class.Band))
 }
 
 // expiry returns the latest time at which a queued call can start and still be expected to
 // meet its deadline.
 func (d *destination) expiry(p Pending) time.Time {
-	return p.Deadline.Add(-d.classQueue(p).speed.Margin(p.Class.Band, p.Deadline.Sub(p.Arrived)))
+	return p.Deadline.Add(-d.classQueue(p).stats.Margin(p.Class.Band, p.Deadline.Sub(p.Arrived)))
 }
 
 // checkFeasible returns an error when a new call is not expected to meet its deadline:
--- a/coord/request/leaving.go
+++ b/coord/request/leaving.go
@@ -17,9 +17,9 @@
 	minShutdownReserve = 500 * time.Millisecond
 )
 
-// WaitsBeforeStop returns how long calls may wait for their model at a host that is shutting
+// ShutdownWait returns how long calls may wait for their model at a host that is shutting
 // down and must have completed all answers within left. Run is the mean time of a run, or 0
 // if it is not known.
-func WaitsBeforeStop(left, run time.Duration) time.Duration {
+func ShutdownWait(left, run time.Duration) time.Duration {
 	return max(0, left-max(minShutdownReserve, reservedRuns*run))
 }
--- a/coord/request/load_test.go
+++ b/coord/request/load_test.go
@@ -170,7 +170,7 @@
 	It("holds a burst of first requests until the model is ready", func() {
 		s := newSimulation(7, 3, 1, 8, perToken)
 		for _, e := range s.entries {
-			Expect(e.admission.Forecast(dest, true, start.Add(2500*time.Millisecond), start)).To(BeEmpty())
+			Expect(e.admission.SetForecast(dest, true, start.Add(2500*time.Millisecond), start)).To(BeEmpty())
 			for range 10 {
 				s.send(e, "a", interactive, 200)
 			}
@@ -183,7 +183,7 @@
 		AddReportEntry("burst", stats.String())
 		Expect(stats.ok).To(Equal(30))
 		for _, e := range s.entries {
-			e.admission.Forecast(dest, true, s.now.Add(6*time.Second), s.now)
+			e.admission.SetForecast(dest, true, s.now.Add(6*time.Second), s.now)
 			c := s.send(e, "a", interactive, 200)
 			Expect(c.answered).To(Equal(s.now), "refused at once")
 			Expect(c.err.Kind).To(Equal(fault.NoCapacity))
--- a/coord/request/outage.go
+++ b/coord/request/outage.go
@@ -21,9 +21,9 @@
 	outageWaitShare = 0.7
 )
 
-// WaitOut returns how much longer a call may wait for state that this host is missing, or
+// OutageWait returns how much longer a call may wait for state that this host is missing, or
 // zero if it may not. Outage is how long the host has been missing it, spent the time since
 // the call arrived, and limit the time that its caller waits in all.
-func WaitOut(outage, spent, limit time.Duration) time.Duration {
+func OutageWait(outage, spent, limit time.Duration) time.Duration {
 	return max(0, min(maxOutageWait-outage, time.Duration(outageWaitShare*float64(limit))-spent))
 }
--- a/coord/request/outage_test.go
+++ b/coord/request/outage_test.go
@@ -18,7 +18,7 @@
 	served, total := 0, 0
 	for arrived := time.Duration(0); arrived < recovered; arrived += interval {
 		total++
-		if arrived+request.WaitOut(arrived, 0, timeout) >= recovered {
+		if arrived+request.OutageWait(arrived, 0, timeout) >= recovered {
 			served++
 		}
 	}
@@ -27,9 +27,9 @@
 
 func TestCallsDoNotWaitForLongOutages(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(request.WaitOut(5*time.Second, 0, time.Minute)).To(BeZero(), "the host is partitioned: other hosts can serve the call")
-	g.Expect(request.WaitOut(0, 0, time.Second)).To(BeNumerically("<", time.Second), "part of the timeout is left for the answer")
-	g.Expect(request.WaitOut(0, 900*time.Millisecond, time.Second)).To(BeZero())
+	g.Expect(request.OutageWait(5*time.Second, 0, time.Minute)).To(BeZero(), "the host is partitioned: other hosts can serve the call")
+	g.Expect(request.OutageWait(0, 0, time.Second)).To(BeNumerically("<", time.Second), "part of the timeout is left for the answer")
+	g.Expect(request.OutageWait(0, 900*time.Millisecond, time.Second)).To(BeZero())
 }
 
 // Seven hosts are restarted in turn, two seconds apart, while callers wait for models that
@@ -38,8 +38,8 @@
 func TestCallsWaitAtShutdownWhileTheyCanBeAnswered(t *testing.T) {
 	g := NewWithT(t)
 	const left, run = 7 * time.Second, 300 * time.Millisecond
-	g.Expect(request.WaitsBeforeStop(left, run)).To(BeNumerically(">=", 4*time.Second))
-	g.Expect(request.WaitsBeforeStop(left, run)+2*run).To(BeNumerically("<", left), "answers end before the host does")
-	g.Expect(request.WaitsBeforeStop(time.Second, time.Second)).To(BeZero())
-	g.Expect(request.WaitsBeforeStop(time.Second, 0)).To(BeNumerically("<", time.Second))
+	g.Expect(request.ShutdownWait(left, run)).To(BeNumerically(">=", 4*time.Second))
+	g.Expect(request.ShutdownWait(left, run)+2*run).To(BeNumerically("<", left), "answers end before the host does")
+	g.Expect(request.ShutdownWait(time.Second, time.Second)).To(BeZero())
+	g.Expect(request.ShutdownWait(time.Second, 0)).To(BeNumerically("<", time.Second))
 }
--- a/coord/request/quarantine.go
+++ b/coord/request/quarantine.go
@@ -22,9 +22,9 @@
 	// MaxStrikes is the number of strikes at which a request is refused. After one crash
 	// the target may have failed by itself; two of the same request are no coincidence.
 	MaxStrikes = 2
-	// StrikeLife is how long a strike counts: longer than a caller's retries, and short
+	// StrikeTTL is how long a strike counts: longer than a caller's retries, and short
 	// enough that a repaired engine serves the request again the same day.
-	StrikeLife = time.Hour
+	StrikeTTL = time.Hour
 )
 
 // Fingerprint is a SHA-256 digest that identifies a request by its content, within its
@@ -62,9 +62,9 @@
 	return fault.New(fault.Quarantined, "the request crashed its targets %d times; refused for %v", s.Count, s.Expires.Sub(now).Round(time.Second))
 }
 
-// Suspect reports whether a request with these strikes must run alone on its target: it has
+// MustRunAlone reports whether a request with these strikes must run alone on its target: it has
 // crashed one, and another crash must not affect other requests.
-func Suspect(s Strikes, now time.Time) bool {
+func MustRunAlone(s Strikes, now time.Time) bool {
 	return s.Count > 0 && now.Before(s.Expires)
 }
 
--- a/coord/request/retry_test.go
+++ b/coord/request/retry_test.go
@@ -42,7 +42,7 @@
 					e = c.Fail(a, fault.New(fault.TargetFailed, "x"), false)
 				}
 				if !down {
-					b.Success()
+					b.RecordSuccess()
 				}
 			}
 			return n
@@ -146,7 +146,7 @@
 				after := request.AfterCrash(len(batch)-1, true)
 				alone[f] = alone[f] || after.RerunAlone
 				if after.Strike {
-					strikes[f] = request.Strikes{Count: strikes[f].Count + 1, Expires: start.Add(request.StrikeLife)}
+					strikes[f] = request.Strikes{Count: strikes[f].Count + 1, Expires: start.Add(request.StrikeTTL)}
 				}
 			}
 		}
@@ -163,10 +163,10 @@
 		run(good)
 		Expect([]int{crashes, served, refused}).To(Equal([]int{3, 2, 8}))
 		Expect(strikes).NotTo(HaveKey(good))
-		Expect(request.Suspect(request.Strikes{Count: 1, Expires: start.Add(time.Hour)}, start)).To(BeTrue())
+		Expect(request.MustRunAlone(request.Strikes{Count: 1, Expires: start.Add(time.Hour)}, start)).To(BeTrue())
 		err := request.CheckStrikes(strikes[bad], start)
 		Expect(fault.Is(err, fault.Quarantined)).To(BeTrue())
-		Expect(request.CheckStrikes(strikes[bad], start.Add(request.StrikeLife))).To(Succeed(), "strikes have expired")
+		Expect(request.CheckStrikes(strikes[bad], start.Add(request.StrikeTTL))).To(Succeed(), "strikes have expired")
 	})
 
 	It("is identified by its content within its workspace", func() {
--- a/coord/residency/growth.go
+++ b/coord/residency/growth.go
@@ -19,24 +19,24 @@
 
 // reserve records the room that an accepted unload makes for one more copy of a model. Any other
 // accepted order on a model ends an earlier reservation.
-func (k *Keeper) reserve(o Order, now time.Time) {
+func (s *Scheduler) reserve(o Order, now time.Time) {
 	if o.Adapter != "" {
 		return
 	}
-	k.reserved = reservation{}
-	if !o.Load && o.Grow {
-		k.reserved = reservation{o.For, now.Add(reservationTimeout)}
+	s.reserved = reservation{}
+	if !o.Load && o.AddsCopy {
+		s.reserved = reservation{o.For, now.Add(reservationTimeout)}
 	}
 }
 
 // loadReserved returns the load order for the reserved room, if the model still fits and is not held.
-func (k *Keeper) loadReserved(now time.Time) (Order, bool) {
-	model := k.reserved.model
-	_, held := k.report.Models[model]
-	if model == "" || held || now.After(k.reserved.until) || !k.fits(model) {
+func (s *Scheduler) loadReserved(now time.Time) (Order, bool) {
+	model := s.reserved.model
+	_, held := s.report.Models[model]
+	if model == "" || held || now.After(s.reserved.until) || !s.fits(model) {
 		return Order{}, false
 	}
-	o := k.newOrder(true, model, "")
-	o.Grow = k.demand[model].Copies > 0
+	o := s.newOrder(true, model, "")
+	o.AddsCopy = s.demand[model].Copies > 0
 	return o, true
 }
--- a/coord/residency/growth_test.go
+++ b/coord/residency/growth_test.go
@@ -11,8 +11,8 @@
 
 var _ = Describe("room reserved for one more copy of a saturated model", func() {
 	saturated := map[string]residency.Demand{
-		"c": {WorthPerSecond: 10, Copies: 1, Pressed: 1},
-		"d": {WorthPerSecond: 400, Copies: 8},
+		"c": {ValuePerSecond: 10, Copies: 1, Saturated: 1},
+		"d": {ValuePerSecond: 400, Copies: 8},
 	}
 
 	// Guards against unloading a copy to make room for a model that is then not loaded.
@@ -20,10 +20,10 @@
 		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(saturated)
 		unload := t.takeOrder()
-		Expect(unload).To(And(HaveField("Load", false), HaveField("For", "c"), HaveField("Grow", true)))
+		Expect(unload).To(And(HaveField("Load", false), HaveField("For", "c"), HaveField("AddsCopy", true)))
 		t.complete(unload)
 		load := t.takeOrder()
-		Expect(load).To(And(HaveField("Load", true), HaveField("Model", "c"), HaveField("Grow", true)))
+		Expect(load).To(And(HaveField("Load", true), HaveField("Model", "c"), HaveField("AddsCopy", true)))
 		t.complete(load)
 		t.expectNoOrder()
 	})
@@ -34,7 +34,7 @@
 		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(saturated)
 		unload := t.takeOrder()
-		t.keeper.Answered(unload, residency.Unknown, t.now)
+		t.keeper.HandleResult(unload, residency.OutcomeUnknown, t.now)
 		t.report.Sequence++
 		t.now = t.now.Add(200 * time.Millisecond)
 		delete(t.report.Models, unload.Model)
--- a/coord/residency/keeper.go
+++ b/coord/residency/keeper.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Keeper decides about the loads and unloads of one target. It is not safe for concurrent use.
-type Keeper struct {
-	engine          Engine
+// Scheduler decides about the loads and unloads of one target. It is not safe for concurrent use.
+type Scheduler struct {
+	config          TargetConfig
 	demand          map[string]Demand
 	report          Report
 	hasReport       bool                  // at least one report was observed
-	waiters         map[string]*Want      // by ID
+	waiters         map[string]*Waiter    // by ID
 	retries         map[string][]retry    // by model
 	pending         *pendingOrder         // the order that was sent and whose result is not known
 	loading         map[string]activeLoad // accepted loads by model, until a report shows their end
@@ -56,142 +56,142 @@
 	typicalUnloadWait = time.Second
 )
 
-// NewKeeper returns a scheduler that gives no orders until it has a configuration and a report.
-func NewKeeper() *Keeper {
-	return &Keeper{
-		demand: map[string]Demand{}, waiters: map[string]*Want{}, retries: map[string][]retry{}, loading: map[string]activeLoad{},
+// NewScheduler returns a scheduler that gives no orders until it has a configuration and a report.
+func NewScheduler() *Scheduler {
+	return &Scheduler{
+		demand: map[string]Demand{}, waiters: map[string]*Waiter{}, retries: map[string][]retry{}, loading: map[string]activeLoad{},
 		lastWanted: map[string]time.Time{}, keepUntil: map[string]time.Time{}, unloadRefusedAt: map[string]time.Time{},
 	}
 }
 
 // Configure sets the configuration of the target's service.
-func (k *Keeper) Configure(e Engine) { k.engine = e }
+func (s *Scheduler) Configure(e TargetConfig) { s.config = e }
 
 // SetDemand sets the fleet-wide demand by model.
-func (k *Keeper) SetDemand(d map[string]Demand) { k.demand = d }
+func (s *Scheduler) SetDemand(d map[string]Demand) { s.demand = d }
 
 // Holds reports whether the target holds a model and, unless adapter is empty, that adapter.
-func (k *Keeper) Holds(model, adapter string) bool {
-	adapters, held := k.report.Models[model]
+func (s *Scheduler) Holds(model, adapter string) bool {
+	adapters, held := s.report.Models[model]
 	return held && (adapter == "" || slices.Contains(adapters, adapter))
 }
 
 // Loading returns the model that is being loaded, or "" if there is none.
-func (k *Keeper) Loading() string {
-	for _, m := range slices.Sorted(maps.Keys(k.loading)) {
+func (s *Scheduler) Loading() string {
+	for _, m := range slices.Sorted(maps.Keys(s.loading)) {
 		return m
 	}
 	return ""
 }
 
-// Observe updates the state from the target's newest report and returns the verdicts for the
+// Observe updates the state from the target's newest report and returns the wait results for the
 // requests whose wait it ends.
-func (k *Keeper) Observe(r Report, now time.Time) []Verdict {
-	if k.hasReport && r.Start != k.report.Start {
-		k.reset()
+func (s *Scheduler) Observe(r Report, now time.Time) []WaitResult {
+	if s.hasReport && r.StartID != s.report.StartID {
+		s.reset()
 	}
-	k.report, k.hasReport = r, true
-	if k.pending != nil && r.Sequence > k.pending.order.After {
+	s.report, s.hasReport = r, true
+	if s.pending != nil && r.Sequence > s.pending.order.ExpectedSequence {
 		// An order with that sequence was accepted: either this one, or another one, after
 		// which the target refuses this one.
-		k.resolvePending(now)
+		s.resolvePending(now)
 	}
-	for model := range k.loading {
+	for model := range s.loading {
 		if _, held := r.Models[model]; held {
-			k.keepUntil[model] = now.Add(minResidency)
-			delete(k.loading, model)
+			s.keepUntil[model] = now.Add(minResidency)
+			delete(s.loading, model)
 		} else if !r.Busy {
-			delete(k.loading, model)
+			delete(s.loading, model)
 		}
 	}
-	return k.resolveHeld(now)
+	return s.resolveHeld(now)
 }
 
 // reset clears the state that a restart of the target ends: after it the target holds nothing.
-func (k *Keeper) reset() {
-	k.pending = nil
-	k.reserved = reservation{}
-	clear(k.loading)
-	clear(k.keepUntil)
+func (s *Scheduler) reset() {
+	s.pending = nil
+	s.reserved = reservation{}
+	clear(s.loading)
+	clear(s.keepUntil)
 }
 
 // resolvePending ends the wait for the pending order's result. It was accepted or can no longer be;
 // the report shows which.
-func (k *Keeper) resolvePending(now time.Time) {
-	o := k.pending.order
-	k.pending = nil
-	k.reserve(o, now)
-	if o.Load && o.Adapter == "" && k.report.Busy {
-		k.loading[o.Model] = activeLoad{now, k.loadTime(o.Model)}
+func (s *Scheduler) resolvePending(now time.Time) {
+	o := s.pending.order
+	s.pending = nil
+	s.reserve(o, now)
+	if o.Load && o.Adapter == "" && s.report.Busy {
+		s.loading[o.Model] = activeLoad{now, s.loadTime(o.Model)}
 	}
 }
 
 // Add adds a waiting request. If the model is held already, is not configured, or is not forecast
-// to be ready before the end of the wait, the request does not wait: Add returns its verdict and
-// true.
-func (k *Keeper) Add(w Want, now time.Time) (Verdict, bool) {
-	k.lastWanted[w.Model] = now
+// to be ready before the end of the wait, the request does not wait: Add returns its wait result
+// and true.
+func (s *Scheduler) Add(w Waiter, now time.Time) (WaitResult, bool) {
+	s.lastWanted[w.Model] = now
 	if w.Adapter != "" {
-		k.lastWanted[w.Model+"/"+w.Adapter] = now
+		s.lastWanted[w.Model+"/"+w.Adapter] = now
 	}
-	if _, known := k.engine.Models[w.Model]; !known {
-		return Verdict{ID: w.ID, Reason: "the model is not in the configuration"}, true
+	if _, known := s.config.Models[w.Model]; !known {
+		return WaitResult{ID: w.ID, Reason: "the model is not in the configuration"}, true
 	}
-	if k.Holds(w.Model, w.Adapter) {
-		return Verdict{ID: w.ID, Held: true}, true
+	if s.Holds(w.Model, w.Adapter) {
+		return WaitResult{ID: w.ID, Held: true}, true
 	}
-	if ready := k.forecast(w, now); now.Add(ready).After(w.Until) {
-		expected := w.Retries && k.expectRetry(w, ready, now)
-		return Verdict{ID: w.ID, RetryAfter: ready, Expected: expected, Reason: "it would be ready too late"}, true
+	if ready := s.forecast(w, now); now.Add(ready).After(w.Deadline) {
+		expected := w.WillRetry && s.expectRetry(w, ready, now)
+		return WaitResult{ID: w.ID, RetryAfter: ready, WillLoad: expected, Reason: "it would be ready too late"}, true
 	}
-	k.waiters[w.ID] = &w
-	return Verdict{}, false
+	s.waiters[w.ID] = &w
+	return WaitResult{}, false
 }
 
-// Drop removes a waiting request whose caller has gone.
-func (k *Keeper) Drop(id string) { delete(k.waiters, id) }
+// Cancel removes a waiting request whose caller has disconnected.
+func (s *Scheduler) Cancel(id string) { delete(s.waiters, id) }
 
 // Waiting returns the number of waiting requests.
-func (k *Keeper) Waiting() int { return len(k.waiters) }
-
-// Tick removes expired retries, and returns the verdicts for the requests whose wait has ended.
-func (k *Keeper) Tick(now time.Time) []Verdict {
-	k.expireRetries(now)
-	var out []Verdict
-	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
-		w := k.waiters[id]
-		if now.Before(w.Until) {
+func (s *Scheduler) Waiting() int { return len(s.waiters) }
+
+// Tick removes expired retries, and returns the wait results for the requests whose wait has ended.
+func (s *Scheduler) Tick(now time.Time) []WaitResult {
+	s.expireRetries(now)
+	var out []WaitResult
+	for _, id := range slices.Sorted(maps.Keys(s.waiters)) {
+		w := s.waiters[id]
+		if now.Before(w.Deadline) {
 			continue
 		}
-		delete(k.waiters, id)
-		out = append(out, Verdict{ID: id, RetryAfter: k.forecast(*w, now), Reason: "it was not ready within the wait limit"})
+		delete(s.waiters, id)
+		out = append(out, WaitResult{ID: id, RetryAfter: s.forecast(*w, now), Reason: "it was not ready within the wait limit"})
 	}
 	return out
 }
 
 // FailAll ends the wait of all requests with a reason, for instance when the target does not answer.
 // No retry of refused callers is expected any more.
-func (k *Keeper) FailAll(reason string) []Verdict {
-	clear(k.retries)
-	var out []Verdict
-	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
-		out = append(out, Verdict{ID: id, Reason: reason})
+func (s *Scheduler) FailAll(reason string) []WaitResult {
+	clear(s.retries)
+	var out []WaitResult
+	for _, id := range slices.Sorted(maps.Keys(s.waiters)) {
+		out = append(out, WaitResult{ID: id, Reason: reason})
 	}
-	clear(k.waiters)
+	clear(s.waiters)
 	return out
 }
 
 // resolveHeld ends the wait of the requests whose model, and adapter if any, is held now.
-func (k *Keeper) resolveHeld(now time.Time) []Verdict {
-	var out []Verdict
-	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
-		w := k.waiters[id]
-		if !k.Holds(w.Model, w.Adapter) {
+func (s *Scheduler) resolveHeld(now time.Time) []WaitResult {
+	var out []WaitResult
+	for _, id := range slices.Sorted(maps.Keys(s.waiters)) {
+		w := s.waiters[id]
+		if !s.Holds(w.Model, w.Adapter) {
 			continue
 		}
-		k.keepUntil[w.Model] = now.Add(minResidency)
-		delete(k.waiters, id)
-		out = append(out, Verdict{ID: id, Held: true})
+		s.keepUntil[w.Model] = now.Add(minResidency)
+		delete(s.waiters, id)
+		out = append(out, WaitResult{ID: id, Held: true})
 	}
 	return out
 }
@@ -199,73 +199,73 @@
 // Next returns the order to send now, if any. While the result of an order is unknown, only the
 // same order is sent again. If the first attempt was accepted, the target's sequence has advanced
 // and the second is refused; if not, the second takes effect instead.
-func (k *Keeper) Next(now time.Time) (Order, bool) {
-	if !k.hasReport || len(k.engine.Models) == 0 || now.Before(k.nextOrderAt) {
+func (s *Scheduler) Next(now time.Time) (Order, bool) {
+	if !s.hasReport || len(s.config.Models) == 0 || now.Before(s.nextOrderAt) {
 		return Order{}, false
 	}
-	if k.pending != nil {
-		if k.pending.unanswered {
-			return k.pending.order, true
+	if s.pending != nil {
+		if s.pending.unanswered {
+			return s.pending.order, true
 		}
 		return Order{}, false // its result is not known yet
 	}
-	if k.report.Busy || len(k.loading) > 0 {
+	if s.report.Busy || len(s.loading) > 0 {
 		return Order{}, false // the target would refuse any order, also one on an adapter
 	}
-	if o, ok := k.nextAdapterOrder(now); ok {
+	if o, ok := s.nextAdapterOrder(now); ok {
 		return o, true
 	}
-	return k.nextModelOrder(now)
+	return s.nextModelOrder(now)
 }
 
 // Idle reports whether no order is pending or under way and none is delayed, so that Next
 // returning no order means that none is needed.
-func (k *Keeper) Idle(now time.Time) bool {
-	return k.hasReport && k.pending == nil && !k.report.Busy && len(k.loading) == 0 && !now.Before(k.nextOrderAt)
+func (s *Scheduler) Idle(now time.Time) bool {
+	return s.hasReport && s.pending == nil && !s.report.Busy && len(s.loading) == 0 && !now.Before(s.nextOrderAt)
 }
 
-// Sent records that an order is being sent. The caller must report its result.
-func (k *Keeper) Sent(o Order) { k.pending = &pendingOrder{order: o} }
+// MarkSent records that an order is being sent. The caller must report its result.
+func (s *Scheduler) MarkSent(o Order) { s.pending = &pendingOrder{order: o} }
 
-// Answered records the result of the order that was sent.
-func (k *Keeper) Answered(o Order, r Result, now time.Time) {
-	if k.pending == nil || k.pending.order != o {
+// HandleResult records the result of the order that was sent.
+func (s *Scheduler) HandleResult(o Order, r Result, now time.Time) {
+	if s.pending == nil || s.pending.order != o {
 		return // a report has resolved it already
 	}
 	switch r {
 	case Accepted:
-		k.report.Sequence = max(k.report.Sequence, o.After+1)
-		k.pending = nil
-		k.applyAccepted(o, now)
-	case Unknown:
-		k.pending.unanswered = true
-		k.nextOrderAt = now.Add(refusalDelay)
-	case Refused, Rejected, Holds:
+		s.report.Sequence = max(s.report.Sequence, o.ExpectedSequence+1)
+		s.pending = nil
+		s.applyAccepted(o, now)
+	case OutcomeUnknown:
+		s.pending.unanswered = true
+		s.nextOrderAt = now.Add(refusalDelay)
+	case Refused, Rejected, AlreadyDone:
 		// If an earlier attempt got no answer, a refusal can mean that the earlier one was
 		// accepted. The next report shows which.
-		k.pending = nil
-		if o.Adapter != "" && !o.Load && !k.report.Busy {
-			k.unloadRefusedAt[o.Model+"/"+o.Adapter] = now
+		s.pending = nil
+		if o.Adapter != "" && !o.Load && !s.report.Busy {
+			s.unloadRefusedAt[o.Model+"/"+o.Adapter] = now
 			return
 		}
-		k.nextOrderAt = now.Add(refusalDelay)
+		s.nextOrderAt = now.Add(refusalDelay)
 	}
 }
 
 // applyAccepted applies an accepted order to the state, as the next report will show it.
-func (k *Keeper) applyAccepted(o Order, now time.Time) {
-	k.reserve(o, now)
+func (s *Scheduler) applyAccepted(o Order, now time.Time) {
+	s.reserve(o, now)
 	switch {
 	case o.Adapter != "" && o.Load:
-		k.report.Coming = withAdapter(k.report.Coming, o.Model, o.Adapter)
+		s.report.LoadingAdapters = withAdapter(s.report.LoadingAdapters, o.Model, o.Adapter)
 	case o.Adapter != "":
-		k.report.Models[o.Model] = without(k.report.Models[o.Model], o.Adapter)
+		s.report.Models[o.Model] = without(s.report.Models[o.Model], o.Adapter)
 	case o.Load:
-		k.report.Busy = true
-		k.loading[o.Model] = activeLoad{now, k.loadTime(o.Model)}
+		s.report.Busy = true
+		s.loading[o.Model] = activeLoad{now, s.loadTime(o.Model)}
 	default:
-		k.report.Busy = true
-		k.nextOrderAt = now.Add(refusalDelay)
+		s.report.Busy = true
+		s.nextOrderAt = now.Add(refusalDelay)
 	}
 }
 
@@ -283,93 +283,93 @@
 }
 
 // loadTime returns the expected time to load a model from the nearest place that has its weights.
-func (k *Keeper) loadTime(model string) time.Duration {
-	m := k.engine.Models[model]
+func (s *Scheduler) loadTime(model string) time.Duration {
+	m := s.config.Models[model]
 	switch {
-	case slices.Contains(k.report.InMemory, model):
-		return m.FromHost
-	case slices.Contains(k.report.OnDisk, model):
-		return m.FromDisk
+	case slices.Contains(s.report.InMemory, model):
+		return m.MemoryLoadTime
+	case slices.Contains(s.report.OnDisk, model):
+		return m.DiskLoadTime
 	}
-	return m.FromStore
+	return m.StoreLoadTime
 }
 
 // fromStore reports whether a model must be loaded from the weight store.
-func (k *Keeper) fromStore(model string) bool {
-	return !slices.Contains(k.report.InMemory, model) && !slices.Contains(k.report.OnDisk, model)
+func (s *Scheduler) fromStore(model string) bool {
+	return !slices.Contains(s.report.InMemory, model) && !slices.Contains(s.report.OnDisk, model)
 }
 
 // forecast returns how long it will take, in the current state, until a waiting request can run.
-func (k *Keeper) forecast(w Want, now time.Time) time.Duration {
-	if _, held := k.report.Models[w.Model]; held {
+func (s *Scheduler) forecast(w Waiter, now time.Time) time.Duration {
+	if _, held := s.report.Models[w.Model]; held {
 		return orderDelay
 	}
-	if l, loading := k.loading[w.Model]; loading {
+	if l, loading := s.loading[w.Model]; loading {
 		return l.left(now) + orderDelay
 	}
-	wait := orderDelay + k.loadingRemaining(now)
-	for _, model := range k.modelsToLoad() {
+	wait := orderDelay + s.loadingRemaining(now)
+	for _, model := range s.modelsToLoad() {
 		if model == w.Model {
 			break
 		}
-		wait += k.loadTime(model) + typicalUnloadWait
+		wait += s.loadTime(model) + typicalUnloadWait
 	}
-	if !k.fits(w.Model) {
+	if !s.fits(w.Model) {
 		wait += typicalUnloadWait
 	}
-	if k.fromStore(w.Model) {
-		wait = max(wait, k.storeBusyUntil.Sub(now))
+	if s.fromStore(w.Model) {
+		wait = max(wait, s.storeBusyUntil.Sub(now))
 	}
-	return wait + k.loadTime(w.Model)
+	return wait + s.loadTime(w.Model)
 }
 
 // left returns how much longer a load is expected to take.
 func (l activeLoad) left(now time.Time) time.Duration { return max(0, l.expected-now.Sub(l.start)) }
 
 // loadingRemaining returns how much longer the loads under way are expected to take.
-func (k *Keeper) loadingRemaining(now time.Time) time.Duration {
+func (s *Scheduler) loadingRemaining(now time.Time) time.Duration {
 	sum := time.Duration(0)
-	for _, l := range k.loading {
+	for _, l := range s.loading {
 		sum += l.left(now)
 	}
 	return sum
 }
 
 // LoadWait returns how long a load that is requested now would wait until it can begin.
-func (k *Keeper) LoadWait(now time.Time) time.Duration {
-	wait := k.loadingRemaining(now)
-	for _, model := range k.Awaited() {
-		wait += k.loadTime(model) + typicalUnloadWait
+func (s *Scheduler) LoadWait(now time.Time) time.Duration {
+	wait := s.loadingRemaining(now)
+	for _, model := range s.Awaited() {
+		wait += s.loadTime(model) + typicalUnloadWait
 	}
 	return wait
 }
 
 // Awaited returns the models that are to be loaded and are not loading yet, in the order in
 // which they will be loaded.
-func (k *Keeper) Awaited() []string {
-	return slices.DeleteFunc(k.modelsToLoad(), func(model string) bool {
-		_, loading := k.loading[model]
+func (s *Scheduler) Awaited() []string {
+	return slices.DeleteFunc(s.modelsToLoad(), func(model string) bool {
+		_, loading := s.loading[model]
 		return loading
 	})
 }
 
-// StoreBusy records that the weight store accepts no load for this target for the given time.
+// DelayStoreLoads records that the weight store accepts no load for this target for the given time.
 // It returns the waiting requests that can no longer be served within their wait limit, so that
 // their callers retry when they can be.
-func (k *Keeper) StoreBusy(wait time.Duration, now time.Time) []Verdict {
-	k.storeBusyUntil = now.Add(wait)
-	var out []Verdict
-	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
-		w := k.waiters[id]
-		if _, held := k.report.Models[w.Model]; held || !k.fromStore(w.Model) {
+func (s *Scheduler) DelayStoreLoads(wait time.Duration, now time.Time) []WaitResult {
+	s.storeBusyUntil = now.Add(wait)
+	var out []WaitResult
+	for _, id := range slices.Sorted(maps.Keys(s.waiters)) {
+		w := s.waiters[id]
+		if _, held := s.report.Models[w.Model]; held || !s.fromStore(w.Model) {
 			continue
 		}
-		if _, loading := k.loading[w.Model]; loading {
+		if _, loading := s.loading[w.Model]; loading {
 			continue
 		}
-		if ready := k.forecast(*w, now); now.Add(ready).After(w.Until) {
-			delete(k.waiters, id)
-			out = append(out, Verdict{ID: id, RetryAfter: ready, Reason: "the weight store is busy with other loads"})
+		if ready := s.forecast(*w, now); now.Add(ready).After(w.Deadline) {
+			delete(s.waiters, id)
+			out = append(out, WaitResult{ID: id, RetryAfter: ready, Reason: "the weight store is busy with other loads"})
 		}
 	}
 	return out
@@ -377,24 +377,24 @@
 
 // modelsToLoad returns the models that are not held and that requests wait for or expected
 // retries need, in descending order of value per second of load time.
-func (k *Keeper) modelsToLoad() []string {
+func (s *Scheduler) modelsToLoad() []string {
 	value := map[string]float64{}
-	for _, w := range k.waiters {
-		if _, held := k.report.Models[w.Model]; !held {
-			value[w.Model] += w.Worth
+	for _, w := range s.waiters {
+		if _, held := s.report.Models[w.Model]; !held {
+			value[w.Model] += w.Value
 		}
 	}
-	for model := range k.retries {
-		if _, held := k.report.Models[model]; !held && k.retriesJustifyLoad(model) {
-			value[model] += k.retryValue(model)
+	for model := range s.retries {
+		if _, held := s.report.Models[model]; !held && s.retriesJustifyLoad(model) {
+			value[model] += s.retryValue(model)
 		}
 	}
 	models := slices.Sorted(maps.Keys(value))
 	slices.SortStableFunc(models, func(a, b string) int {
-		return cmp.Compare(value[b]/k.cost(b), value[a]/k.cost(a))
+		return cmp.Compare(value[b]/s.cost(b), value[a]/s.cost(a))
 	})
 	return models
 }
 
 // cost returns the expected time to load a model, with the overhead of the order, in seconds.
-func (k *Keeper) cost(model string) float64 { return (k.loadTime(model) + orderDelay).Seconds() }
+func (s *Scheduler) cost(model string) float64 { return (s.loadTime(model) + orderDelay).Seconds() }
--- a/coord/residency/keeper_test.go
+++ b/coord/residency/keeper_test.go
@@ -19,22 +19,22 @@
 // fakeTarget simulates a target with room for two models and two adapters. It carries out an
 // order when the test calls complete.
 type fakeTarget struct {
-	keeper *residency.Keeper
+	keeper *residency.Scheduler
 	report residency.Report
 	now    time.Time
 }
 
 func newFakeTarget(holds ...string) *fakeTarget {
-	t := &fakeTarget{keeper: residency.NewKeeper(), now: time.Unix(1000, 0)}
+	t := &fakeTarget{keeper: residency.NewScheduler(), now: time.Unix(1000, 0)}
 	models := map[string]residency.Model{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		models[name] = residency.Model{
 			WeightsMb: 100, AdapterMb: 1,
-			FromStore: 6 * time.Second, FromDisk: 800 * time.Millisecond, FromHost: 400 * time.Millisecond,
+			StoreLoadTime: 6 * time.Second, DiskLoadTime: 800 * time.Millisecond, MemoryLoadTime: 400 * time.Millisecond,
 		}
 	}
-	t.keeper.Configure(residency.Engine{WeightsMb: 210, AdapterPlaces: 2, Models: models})
-	t.report = residency.Report{Instance: "i-1", Start: "i-1@1", Models: map[string][]string{}}
+	t.keeper.Configure(residency.TargetConfig{CapacityMb: 210, AdapterSlots: 2, Models: models})
+	t.report = residency.Report{Instance: "i-1", StartID: "i-1@1", Models: map[string][]string{}}
 	for _, m := range holds {
 		t.report.Models[m] = nil
 	}
@@ -42,10 +42,10 @@
 	return t
 }
 
-func (t *fakeTarget) observe() []residency.Verdict { return t.keeper.Observe(t.report, t.now) }
+func (t *fakeTarget) observe() []residency.WaitResult { return t.keeper.Observe(t.report, t.now) }
 
-func (t *fakeTarget) addWaiter(id, model, adapter string, worth float64) (residency.Verdict, bool) {
-	w := residency.Want{ID: id, Model: model, Adapter: adapter, Worth: worth, Until: t.now.Add(10 * time.Second)}
+func (t *fakeTarget) addWaiter(id, model, adapter string, value float64) (residency.WaitResult, bool) {
+	w := residency.Waiter{ID: id, Model: model, Adapter: adapter, Value: value, Deadline: t.now.Add(10 * time.Second)}
 	return t.keeper.Add(w, t.now)
 }
 
@@ -54,7 +54,7 @@
 	GinkgoHelper()
 	o, ok := t.keeper.Next(t.now)
 	Expect(ok).To(BeTrue(), "an order is due")
-	t.keeper.Sent(o)
+	t.keeper.MarkSent(o)
 	return o
 }
 
@@ -65,9 +65,9 @@
 	Expect(ok).To(BeFalse(), "no order is due, got %+v", o)
 }
 
-// complete accepts and carries out an order, and returns the verdicts of the next report.
-func (t *fakeTarget) complete(o residency.Order) []residency.Verdict {
-	t.keeper.Answered(o, residency.Accepted, t.now)
+// complete accepts and carries out an order, and returns the wait results of the next report.
+func (t *fakeTarget) complete(o residency.Order) []residency.WaitResult {
+	t.keeper.HandleResult(o, residency.Accepted, t.now)
 	t.report.Sequence++
 	switch {
 	case o.Adapter != "" && o.Load:
@@ -90,8 +90,8 @@
 		Expect(resolved).To(BeFalse())
 		t.addWaiter("2", "a", "", 1)
 		o := t.takeOrder()
-		Expect(o).To(Equal(residency.Order{Load: true, Model: "a", Instance: "i-1", Store: true, For: "a"}))
-		Expect(t.complete(o)).To(ConsistOf(residency.Verdict{ID: "1", Held: true}, residency.Verdict{ID: "2", Held: true}))
+		Expect(o).To(Equal(residency.Order{Load: true, Model: "a", Instance: "i-1", FromStore: true, For: "a"}))
+		Expect(t.complete(o)).To(ConsistOf(residency.WaitResult{ID: "1", Held: true}, residency.WaitResult{ID: "2", Held: true}))
 		t.expectNoOrder()
 	})
 
@@ -122,8 +122,8 @@
 	It("refuses at once a request that a busy store delays too long, with the expected time", func() {
 		t := newFakeTarget()
 		t.addWaiter("1", "a", "", 1)
-		Expect(t.keeper.StoreBusy(2*time.Second, t.now)).To(BeEmpty())
-		v := t.keeper.StoreBusy(5*time.Second, t.now)
+		Expect(t.keeper.DelayStoreLoads(2*time.Second, t.now)).To(BeEmpty())
+		v := t.keeper.DelayStoreLoads(5*time.Second, t.now)
 		Expect(v).To(HaveLen(1))
 		Expect(v[0]).To(And(HaveField("ID", "1"), HaveField("Held", false), HaveField("RetryAfter", 11*time.Second)))
 		t.report.OnDisk = []string{"b"}
@@ -134,7 +134,7 @@
 
 	It("evicts the model with the least demand in the fleet", func() {
 		t := newFakeTarget("a", "b")
-		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 5, Copies: 1}, "b": {WorthPerSecond: 0.1, Copies: 1}})
+		t.keeper.SetDemand(map[string]residency.Demand{"a": {ValuePerSecond: 5, Copies: 1}, "b": {ValuePerSecond: 0.1, Copies: 1}})
 		t.addWaiter("1", "c", "", 1)
 		o := t.takeOrder()
 		Expect(o.Load).To(BeFalse())
@@ -145,14 +145,14 @@
 	// move hundreds of requests to other targets or cause another load from the store.
 	It("keeps the only copies of busy models when a single request needs another model", func() {
 		t := newFakeTarget("a", "b")
-		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 20, Copies: 1}, "b": {WorthPerSecond: 20, Copies: 1}})
+		t.keeper.SetDemand(map[string]residency.Demand{"a": {ValuePerSecond: 20, Copies: 1}, "b": {ValuePerSecond: 20, Copies: 1}})
 		t.addWaiter("1", "c", "", 1)
 		t.expectNoOrder()
 	})
 
 	It("evicts a copy of a busy model that many targets hold", func() {
 		t := newFakeTarget("a", "b")
-		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 20, Copies: 9}, "b": {WorthPerSecond: 20, Copies: 1}})
+		t.keeper.SetDemand(map[string]residency.Demand{"a": {ValuePerSecond: 20, Copies: 9}, "b": {ValuePerSecond: 20, Copies: 1}})
 		t.addWaiter("1", "c", "", 1)
 		Expect(t.takeOrder().Model).To(Equal("a"))
 	})
@@ -161,7 +161,7 @@
 		t := newFakeTarget("b")
 		t.addWaiter("1", "a", "", 1)
 		t.complete(t.takeOrder())
-		t.keeper.SetDemand(map[string]residency.Demand{"b": {WorthPerSecond: 100, Copies: 1}})
+		t.keeper.SetDemand(map[string]residency.Demand{"b": {ValuePerSecond: 100, Copies: 1}})
 		t.addWaiter("2", "c", "", 50)
 		t.expectNoOrder()
 		t.now = t.now.Add(2 * time.Second)
@@ -191,7 +191,7 @@
 		t.addWaiter("1", "a", "z", 1)
 		first := t.takeOrder()
 		Expect(first.Load).To(BeFalse())
-		t.keeper.Answered(first, residency.Refused, t.now)
+		t.keeper.HandleResult(first, residency.Refused, t.now)
 		second := t.takeOrder()
 		Expect(second.Load).To(BeFalse())
 		Expect(second.Adapter).NotTo(Equal(first.Adapter))
@@ -203,11 +203,11 @@
 		t := newFakeTarget()
 		t.addWaiter("1", "a", "", 1)
 		o := t.takeOrder()
-		t.keeper.Answered(o, residency.Unknown, t.now)
+		t.keeper.HandleResult(o, residency.OutcomeUnknown, t.now)
 		t.addWaiter("2", "b", "", 100)
 		t.now = t.now.Add(150 * time.Millisecond)
 		Expect(t.takeOrder()).To(Equal(o))
-		t.keeper.Answered(o, residency.Refused, t.now)
+		t.keeper.HandleResult(o, residency.Refused, t.now)
 		t.report.Sequence, t.report.Busy = 1, true
 		t.observe()
 		t.expectNoOrder()
@@ -216,16 +216,16 @@
 	It("discards the state from before a restart of the target", func() {
 		t := newFakeTarget("a")
 		t.addWaiter("1", "b", "", 1)
-		t.keeper.Answered(t.takeOrder(), residency.Unknown, t.now)
-		t.report = residency.Report{Instance: "i-1", Start: "i-1@2", Models: map[string][]string{}}
+		t.keeper.HandleResult(t.takeOrder(), residency.OutcomeUnknown, t.now)
+		t.report = residency.Report{Instance: "i-1", StartID: "i-1@2", Models: map[string][]string{}}
 		t.observe()
 		t.now = t.now.Add(150 * time.Millisecond)
-		Expect(t.takeOrder()).To(Equal(residency.Order{Load: true, Model: "b", Instance: "i-1", Store: true, For: "b"}))
+		Expect(t.takeOrder()).To(Equal(residency.Order{Load: true, Model: "b", Instance: "i-1", FromStore: true, For: "b"}))
 	})
 
 	It("fills an empty target with the model whose next copy has the highest value", func() {
 		t := newFakeTarget()
-		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 30, Copies: 1}, "b": {WorthPerSecond: 60, Copies: 5}})
+		t.keeper.SetDemand(map[string]residency.Demand{"a": {ValuePerSecond: 30, Copies: 1}, "b": {ValuePerSecond: 60, Copies: 5}})
 		Expect(t.takeOrder()).To(HaveField("Model", "a"))
 	})
 
@@ -238,7 +238,7 @@
 				if !ok {
 					break
 				}
-				t.keeper.Sent(o)
+				t.keeper.MarkSent(o)
 				t.complete(o)
 				Expect(len(t.report.Models)).To(BeNumerically("<=", 2))
 			}
@@ -249,7 +249,7 @@
 
 var _ = Describe("additional copies of a busy model", func() {
 	saturated := map[string]residency.Demand{
-		"c": {WorthPerSecond: 40, Copies: 1, Pressed: 1}, "a": {WorthPerSecond: 0.2, Copies: 1}, "b": {WorthPerSecond: 3, Copies: 1},
+		"c": {ValuePerSecond: 40, Copies: 1, Saturated: 1}, "a": {ValuePerSecond: 0.2, Copies: 1}, "b": {ValuePerSecond: 3, Copies: 1},
 	}
 
 	// Guards against a queue that exceeds its callers' deadlines after demand moved to a model
@@ -258,18 +258,18 @@
 		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(saturated)
 		o := t.takeOrder()
-		Expect(o).To(Equal(residency.Order{Model: "a", Instance: "i-1", Store: true, For: "c", Grow: true}))
+		Expect(o).To(Equal(residency.Order{Model: "a", Instance: "i-1", FromStore: true, For: "c", AddsCopy: true}))
 		t.complete(o)
 		load := t.takeOrder()
-		Expect(load).To(And(HaveField("Model", "c"), HaveField("Grow", true), HaveField("Load", true)))
+		Expect(load).To(And(HaveField("Model", "c"), HaveField("AddsCopy", true), HaveField("Load", true)))
 	})
 
 	It("are not added while one of its copies has capacity, nor by a target that is saturated itself", func() {
 		t := newFakeTarget("a", "b")
-		t.keeper.SetDemand(map[string]residency.Demand{"c": {WorthPerSecond: 40, Copies: 2, Pressed: 1}})
+		t.keeper.SetDemand(map[string]residency.Demand{"c": {ValuePerSecond: 40, Copies: 2, Saturated: 1}})
 		t.expectNoOrder()
 		t.keeper.SetDemand(saturated)
-		t.report.Pressed = true
+		t.report.Saturated = true
 		t.observe()
 		t.expectNoOrder()
 	})
@@ -277,7 +277,7 @@
 	It("do not replace a model that is as busy", func() {
 		t := newFakeTarget("a", "b")
 		t.keeper.SetDemand(map[string]residency.Demand{
-			"c": {WorthPerSecond: 40, Copies: 1, Pressed: 1}, "a": {WorthPerSecond: 40, Copies: 1, Pressed: 1}, "b": {WorthPerSecond: 30, Copies: 1},
+			"c": {ValuePerSecond: 40, Copies: 1, Saturated: 1}, "a": {ValuePerSecond: 40, Copies: 1, Saturated: 1}, "b": {ValuePerSecond: 30, Copies: 1},
 		})
 		t.expectNoOrder()
 	})
@@ -285,27 +285,27 @@
 
 var _ = Describe("the limit on loads from the weight store", func() {
 	now := time.Unix(1000, 0)
-	rare := residency.Load{Model: "rare", Store: true, Usual: 6 * time.Second}
+	rare := residency.LoadRequest{Model: "rare", FromStore: true, UncontendedTime: 6 * time.Second}
 
 	// Guards against twice the permitted loads in one window, when a new leader permits a full
 	// window right after its predecessor did.
 	It("starts with a full window", func() {
-		g := residency.NewGate(2, 5*time.Second, now)
-		ok, retryAfter := g.Ask("h1", rare, now)
+		limiter := residency.NewLoadLimiter(2, 5*time.Second, now)
+		ok, retryAfter := limiter.TryAcquire("h1", rare, now)
 		Expect(ok).To(BeFalse())
 		Expect(retryAfter).To(BeNumerically(">", 0))
-		ok, _ = g.Ask("h1", rare, now.Add(time.Second))
+		ok, _ = limiter.TryAcquire("h1", rare, now.Add(time.Second))
 		Expect(ok).To(BeTrue())
 	})
 
 	It("never permits more loads in any window than the store allows", func() {
-		g := residency.NewGate(2, 5*time.Second, now)
+		limiter := residency.NewLoadLimiter(2, 5*time.Second, now)
 		var begun []time.Time
 		for i := range 400 {
 			at := now.Add(time.Duration(i) * 50 * time.Millisecond)
-			if ok, _ := g.Ask("h", rare, at); ok {
+			if ok, _ := limiter.TryAcquire("h", rare, at); ok {
 				begun = append(begun, at)
-				g.Done("h", rare.Model, at)
+				limiter.Release("h", rare.Model, at)
 			}
 		}
 		Expect(len(begun)).To(BeNumerically(">=", 30))
@@ -321,29 +321,29 @@
 	})
 
 	It("reserves a slot for a copy of a busy model, and drops permits that timed out", func() {
-		g := residency.NewGate(100, 5*time.Second, now)
+		limiter := residency.NewLoadLimiter(100, 5*time.Second, now)
 		at := now.Add(6 * time.Second)
 		for _, h := range []string{"h1", "h2"} {
-			ok, _ := g.Ask(h, rare, at)
+			ok, _ := limiter.TryAcquire(h, rare, at)
 			Expect(ok).To(BeTrue())
 		}
-		ok, retryAfter := g.Ask("h3", rare, at)
+		ok, retryAfter := limiter.TryAcquire("h3", rare, at)
 		Expect(ok).To(BeFalse())
 		Expect(retryAfter).To(Equal(6 * time.Second))
-		ok, _ = g.Ask("h4", residency.Load{Model: "busy", Store: true, Grow: true, Copies: 1}, at)
+		ok, _ = limiter.TryAcquire("h4", residency.LoadRequest{Model: "busy", FromStore: true, AddsCopy: true, Copies: 1}, at)
 		Expect(ok).To(BeTrue())
-		ok, _ = g.Ask("h5", rare, at.Add(time.Minute))
+		ok, _ = limiter.TryAcquire("h5", rare, at.Add(time.Minute))
 		Expect(ok).To(BeTrue())
 	})
 
 	It("lets the copies of a model at most double at a time", func() {
-		g := residency.NewGate(100, 5*time.Second, now)
-		grow := residency.Load{Model: "busy", Grow: true, Copies: 2}
-		ok, _ := g.Ask("h1", grow, now)
+		limiter := residency.NewLoadLimiter(100, 5*time.Second, now)
+		addCopy := residency.LoadRequest{Model: "busy", AddsCopy: true, Copies: 2}
+		ok, _ := limiter.TryAcquire("h1", addCopy, now)
 		Expect(ok).To(BeTrue())
-		ok, _ = g.Ask("h2", grow, now)
+		ok, _ = limiter.TryAcquire("h2", addCopy, now)
 		Expect(ok).To(BeTrue())
-		ok, _ = g.Ask("h3", grow, now)
+		ok, _ = limiter.TryAcquire("h3", addCopy, now)
 		Expect(ok).To(BeFalse())
 	})
 
@@ -351,23 +351,23 @@
 	// queue refuses callers. It was permitted because a target without the weights on its disk
 	// asked just before those that have them.
 	It("defers to targets that have the weights of a growing model on their disks", func() {
-		g := residency.NewGate(100, 5*time.Second, now)
-		far := residency.Load{Model: "busy", Store: true, Grow: true, Copies: 1, Near: 2}
-		near := residency.Load{Model: "busy", Grow: true, Copies: 1, Near: 2}
-		ok, _ := g.Ask("far", far, now)
+		limiter := residency.NewLoadLimiter(100, 5*time.Second, now)
+		far := residency.LoadRequest{Model: "busy", FromStore: true, AddsCopy: true, Copies: 1, LocalCopies: 2}
+		local := residency.LoadRequest{Model: "busy", AddsCopy: true, Copies: 1, LocalCopies: 2}
+		ok, _ := limiter.TryAcquire("far", far, now)
 		Expect(ok).To(BeFalse())
-		ok, _ = g.Ask("near", near, now.Add(150*time.Millisecond))
+		ok, _ = limiter.TryAcquire("near", local, now.Add(150*time.Millisecond))
 		Expect(ok).To(BeTrue())
 	})
 
 	// Guards against deferring forever to targets that have the weights but hold models of a higher
 	// value, and so never load this one.
 	It("permits a load from the store if no target with the weights loads the model", func() {
-		g := residency.NewGate(100, 5*time.Second, now)
-		far := residency.Load{Model: "busy", Store: true, Grow: true, Copies: 1, Near: 2}
+		limiter := residency.NewLoadLimiter(100, 5*time.Second, now)
+		far := residency.LoadRequest{Model: "busy", FromStore: true, AddsCopy: true, Copies: 1, LocalCopies: 2}
 		granted := time.Duration(-1)
 		for at := time.Duration(0); at < 5*time.Second && granted < 0; at += 200 * time.Millisecond {
-			if ok, _ := g.Ask("far", far, now.Add(at)); ok {
+			if ok, _ := limiter.TryAcquire("far", far, now.Add(at)); ok {
 				granted = at
 			}
 		}
@@ -377,37 +377,37 @@
 	// Guards against counting a returned, unused permit as a very fast load, which would raise the
 	// limit too far, and against a late report that ends a load permitted since.
 	It("ignores the duration of a load that did not begin, and a late report", func() {
-		g := residency.NewGate(100, 5*time.Second, now)
+		limiter := residency.NewLoadLimiter(100, 5*time.Second, now)
 		at := now.Add(6 * time.Second)
 		for i := range 6 {
-			g.Ask(fmt.Sprint("h", i%2), rare, at)
-			g.Done(fmt.Sprint("h", i%2), rare.Model, at.Add(100*time.Millisecond))
+			limiter.TryAcquire(fmt.Sprint("h", i%2), rare, at)
+			limiter.Release(fmt.Sprint("h", i%2), rare.Model, at.Add(100*time.Millisecond))
 		}
 		for _, h := range []string{"h0", "h1"} {
-			ok, _ := g.Ask(h, rare, at.Add(time.Second))
+			ok, _ := limiter.TryAcquire(h, rare, at.Add(time.Second))
 			Expect(ok).To(BeTrue())
 		}
-		g.Done("h0", "another", at.Add(time.Second))
-		ok, _ := g.Ask("h2", rare, at.Add(time.Second))
+		limiter.Release("h0", "another", at.Add(time.Second))
+		ok, _ := limiter.TryAcquire("h2", rare, at.Add(time.Second))
 		Expect(ok).To(BeFalse())
 	})
 
 	// Guards against too many concurrent loads: if the store serves two at full speed, each of six
 	// takes three times as long, and the first model is ready as late as the last.
 	It("adapts the number of concurrent loads to how long they take", func() {
-		g := residency.NewGate(100, 5*time.Second, now)
+		limiter := residency.NewLoadLimiter(100, 5*time.Second, now)
 		at := now.Add(6 * time.Second)
 		for _, h := range []string{"h1", "h2"} {
-			g.Ask(h, rare, at)
+			limiter.TryAcquire(h, rare, at)
 		}
-		g.Ask("h3", residency.Load{Model: "busy", Store: true, Grow: true, Copies: 1, Usual: 6 * time.Second}, at)
-		g.Done("h3", "busy", at.Add(9*time.Second))
-		g.Done("h2", rare.Model, at.Add(6*time.Second))
-		g.Done("h1", rare.Model, at.Add(6*time.Second))
+		limiter.TryAcquire("h3", residency.LoadRequest{Model: "busy", FromStore: true, AddsCopy: true, Copies: 1, UncontendedTime: 6 * time.Second}, at)
+		limiter.Release("h3", "busy", at.Add(9*time.Second))
+		limiter.Release("h2", rare.Model, at.Add(6*time.Second))
+		limiter.Release("h1", rare.Model, at.Add(6*time.Second))
 		later := at.Add(10 * time.Second)
-		ok, _ := g.Ask("h1", rare, later)
+		ok, _ := limiter.TryAcquire("h1", rare, later)
 		Expect(ok).To(BeTrue())
-		ok, _ = g.Ask("h2", rare, later)
+		ok, _ = limiter.TryAcquire("h2", rare, later)
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/coord/residency/orders.go
+++ b/coord/residency/orders.go
@@ -9,28 +9,28 @@
 
 // nextAdapterOrder returns an order to load an adapter that a request waits for and whose model is
 // held, or to unload another adapter if there is no room for it.
-func (k *Keeper) nextAdapterOrder(now time.Time) (Order, bool) {
-	for _, id := range slices.Sorted(maps.Keys(k.waiters)) {
-		w := k.waiters[id]
-		_, held := k.report.Models[w.Model]
-		if w.Adapter == "" || !held || k.Holds(w.Model, w.Adapter) || slices.Contains(k.report.Coming[w.Model], w.Adapter) {
+func (s *Scheduler) nextAdapterOrder(now time.Time) (Order, bool) {
+	for _, id := range slices.Sorted(maps.Keys(s.waiters)) {
+		w := s.waiters[id]
+		_, held := s.report.Models[w.Model]
+		if w.Adapter == "" || !held || s.Holds(w.Model, w.Adapter) || slices.Contains(s.report.LoadingAdapters[w.Model], w.Adapter) {
 			continue
 		}
-		if k.adapterCount() >= k.engine.AdapterPlaces || !k.hasRoom(k.engine.Models[w.Model].AdapterMb) {
-			return k.evictAdapter(now)
+		if s.adapterCount() >= s.config.AdapterSlots || !s.hasRoom(s.config.Models[w.Model].AdapterMb) {
+			return s.evictAdapter(now)
 		}
-		return k.newOrder(true, w.Model, w.Adapter), true
+		return s.newOrder(true, w.Model, w.Adapter), true
 	}
 	return Order{}, false
 }
 
-// adapterCount returns the number of adapters that are held or being loaded: both take a place.
-func (k *Keeper) adapterCount() int {
+// adapterCount returns the number of adapters that are held or being loaded: both take a slot.
+func (s *Scheduler) adapterCount() int {
 	n := 0
-	for _, list := range k.report.Models {
+	for _, list := range s.report.Models {
 		n += len(list)
 	}
-	for _, list := range k.report.Coming {
+	for _, list := range s.report.LoadingAdapters {
 		n += len(list)
 	}
 	return n
@@ -39,16 +39,16 @@
 // evictAdapter returns an order to unload the least recently wanted adapter. Adapters that a
 // request waited for within minAdapterResidency stay, as the request is about to begin, and so
 // do those whose unload was refused within adapterUnloadRetryDelay.
-func (k *Keeper) evictAdapter(now time.Time) (Order, bool) {
+func (s *Scheduler) evictAdapter(now time.Time) (Order, bool) {
 	var oldest *Order
 	var oldestUse time.Time
-	for _, model := range slices.Sorted(maps.Keys(k.report.Models)) {
-		for _, a := range k.report.Models[model] {
-			used := k.lastWanted[model+"/"+a]
-			if now.Sub(used) < minAdapterResidency || now.Sub(k.unloadRefusedAt[model+"/"+a]) < adapterUnloadRetryDelay || oldest != nil && !used.Before(oldestUse) {
+	for _, model := range slices.Sorted(maps.Keys(s.report.Models)) {
+		for _, a := range s.report.Models[model] {
+			used := s.lastWanted[model+"/"+a]
+			if now.Sub(used) < minAdapterResidency || now.Sub(s.unloadRefusedAt[model+"/"+a]) < adapterUnloadRetryDelay || oldest != nil && !used.Before(oldestUse) {
 				continue
 			}
-			o := k.newOrder(false, model, a)
+			o := s.newOrder(false, model, a)
 			oldest, oldestUse = &o, used
 		}
 	}
@@ -69,71 +69,71 @@
 // nextModelOrder returns the model load with the highest value, or the unload that makes room for
 // it. Models that requests wait for come first, then a reserved copy, then a load into free
 // room, and last one more copy of a saturated model in place of another model.
-func (k *Keeper) nextModelOrder(now time.Time) (Order, bool) {
-	for _, model := range k.modelsToLoad() {
-		if k.fits(model) {
-			return k.newOrder(true, model, ""), true
+func (s *Scheduler) nextModelOrder(now time.Time) (Order, bool) {
+	for _, model := range s.modelsToLoad() {
+		if s.fits(model) {
+			return s.newOrder(true, model, ""), true
 		}
-		if victim, ok := k.victim(model, now); ok {
-			o := k.newOrder(false, victim, "")
-			o.For, o.Store = model, k.fromStore(model)
+		if victim, ok := s.victim(model, now); ok {
+			o := s.newOrder(false, victim, "")
+			o.For, o.FromStore = model, s.fromStore(model)
 			return o, true
 		}
 	}
-	if o, ok := k.loadReserved(now); ok {
+	if o, ok := s.loadReserved(now); ok {
 		return o, true
 	}
-	if o, ok := k.fillFreeRoom(); ok {
+	if o, ok := s.fillFreeRoom(); ok {
 		return o, true
 	}
-	return k.addCopy(now)
+	return s.addCopy(now)
 }
 
 // newOrder returns an order that depends on the target's current sequence.
-func (k *Keeper) newOrder(load bool, model, adapter string) Order {
+func (s *Scheduler) newOrder(load bool, model, adapter string) Order {
 	return Order{
-		Load: load, Model: model, Adapter: adapter, After: k.report.Sequence, Instance: k.report.Instance,
-		Store: load && adapter == "" && k.fromStore(model), For: model,
+		Load: load, Model: model, Adapter: adapter, ExpectedSequence: s.report.Sequence, Instance: s.report.Instance,
+		FromStore: load && adapter == "" && s.fromStore(model), For: model,
 	}
 }
 
 // usedMb returns the used memory in MB, including models and adapters that are being loaded.
-func (k *Keeper) usedMb() float64 {
+func (s *Scheduler) usedMb() float64 {
 	sum := 0.0
-	for model, adapters := range k.report.Models {
-		m := k.engine.Models[model]
-		sum += m.WeightsMb + float64(len(adapters)+len(k.report.Coming[model]))*m.AdapterMb
+	for model, adapters := range s.report.Models {
+		m := s.config.Models[model]
+		sum += m.WeightsMb + float64(len(adapters)+len(s.report.LoadingAdapters[model]))*m.AdapterMb
 	}
-	for model := range k.loading {
-		if _, held := k.report.Models[model]; !held {
-			sum += k.engine.Models[model].WeightsMb
+	for model := range s.loading {
+		if _, held := s.report.Models[model]; !held {
+			sum += s.config.Models[model].WeightsMb
 		}
 	}
 	return sum
 }
 
-func (k *Keeper) hasRoom(mb float64) bool { return k.usedMb()+mb <= k.engine.WeightsMb }
+func (s *Scheduler) hasRoom(mb float64) bool { return s.usedMb()+mb <= s.config.CapacityMb }
 
-func (k *Keeper) fits(model string) bool { return k.hasRoom(k.engine.Models[model].WeightsMb) }
+func (s *Scheduler) fits(model string) bool { return s.hasRoom(s.config.Models[model].WeightsMb) }
 
 // victim returns the held model with the lowest value to keep, if the requests for the wanted
 // model have a higher value.
-func (k *Keeper) victim(wanted string, now time.Time) (string, bool) {
+func (s *Scheduler) victim(wanted string, now time.Time) (string, bool) {
 	best, lowest := "", math.Inf(1)
-	for _, model := range slices.Sorted(maps.Keys(k.report.Models)) {
-		if now.Before(k.keepUntil[model]) || k.hasWaiters(model) {
+	for _, model := range slices.Sorted(maps.Keys(s.report.Models)) {
+		if now.Before(s.keepUntil[model]) || s.hasWaiters(model) {
 			continue
 		}
-		if keep := k.keepValue(model); keep < lowest {
+		if keep := s.keepValue(model); keep < lowest {
 			best, lowest = model, keep
 		}
 	}
-	return best, best != "" && lowest < k.waitingValue(wanted)
+	return best, best != "" && lowest < s.waitingValue(wanted)
 }
 
 // hasWaiters reports whether a request waits for a model or, if it is held, for an adapter of it.
-func (k *Keeper) hasWaiters(model string) bool {
-	for _, w := range k.waiters {
+func (s *Scheduler) hasWaiters(model string) bool {
+	for _, w := range s.waiters {
 		if w.Model == model {
 			return true
 		}
@@ -144,22 +144,22 @@
 // keepValue returns the value of keeping a model at this target: the value of its demand over
 // valueHorizon, divided by the square of its copies. Other targets that hold the model take over
 // its requests, so its eviction costs only what it adds to their load.
-func (k *Keeper) keepValue(model string) float64 {
-	d := k.demand[model]
+func (s *Scheduler) keepValue(model string) float64 {
+	d := s.demand[model]
 	copies := float64(max(1, d.Copies))
-	return d.WorthPerSecond * valueHorizon.Seconds() / (copies * copies)
+	return d.ValuePerSecond * valueHorizon.Seconds() / (copies * copies)
 }
 
 // waitingValue returns the value of loading a model: its demand over valueHorizon, the requests
 // that wait for it and its expected retries.
-func (k *Keeper) waitingValue(model string) float64 {
-	sum := k.demand[model].WorthPerSecond * valueHorizon.Seconds()
-	for _, w := range k.waiters {
+func (s *Scheduler) waitingValue(model string) float64 {
+	sum := s.demand[model].ValuePerSecond * valueHorizon.Seconds()
+	for _, w := range s.waiters {
 		if w.Model == model {
-			sum += w.Worth
+			sum += w.Value
 		}
 	}
-	return sum + k.retryValue(model)
+	return sum + s.retryValue(model)
 }
 
 // fillFreeRoom returns a load, into free room, of the model whose next copy has the highest value.
@@ -167,25 +167,25 @@
 // Load pattern: a target has just started and holds nothing, while others serve the whole load.
 // Without it: the target stays empty, as no request waits for a model that other targets hold.
 // Rule: free room is filled by demand, without a request that waits.
-func (k *Keeper) fillFreeRoom() (Order, bool) {
+func (s *Scheduler) fillFreeRoom() (Order, bool) {
 	best, highest := "", 0.0
-	for _, model := range slices.Sorted(maps.Keys(k.demand)) {
-		if _, held := k.report.Models[model]; held || !k.fits(model) {
+	for _, model := range slices.Sorted(maps.Keys(s.demand)) {
+		if _, held := s.report.Models[model]; held || !s.fits(model) {
 			continue
 		}
-		if _, known := k.engine.Models[model]; !known {
+		if _, known := s.config.Models[model]; !known {
 			continue
 		}
-		copies := float64(k.demand[model].Copies + 1)
-		if value := k.demand[model].WorthPerSecond / (copies * copies); value > highest {
+		copies := float64(s.demand[model].Copies + 1)
+		if value := s.demand[model].ValuePerSecond / (copies * copies); value > highest {
 			best, highest = model, value
 		}
 	}
 	if best == "" {
 		return Order{}, false
 	}
-	o := k.newOrder(true, best, "")
-	o.Grow = k.demand[best].Copies > 0
+	o := s.newOrder(true, best, "")
+	o.AddsCopy = s.demand[best].Copies > 0
 	return o, true
 }
 
@@ -200,20 +200,20 @@
 // The gain of a copy is the load that it takes from each of the others: with n+1 instead of n
 // copies, load/n - load/(n+1). The loss by an eviction is computed likewise. The margin prevents
 // two models from evicting each other in turn.
-func (k *Keeper) addCopy(now time.Time) (Order, bool) {
-	if k.report.Pressed {
+func (s *Scheduler) addCopy(now time.Time) (Order, bool) {
+	if s.report.Saturated {
 		return Order{}, false // an unload would wait for the requests of a long queue
 	}
-	model, gain := k.saturatedModel()
+	model, gain := s.saturatedModel()
 	if model == "" {
 		return Order{}, false
 	}
-	victim, loss := k.cheapestEviction(now)
+	victim, loss := s.cheapestEviction(now)
 	if victim == "" || gain < minGainToLoss*loss {
 		return Order{}, false
 	}
-	o := k.newOrder(false, victim, "")
-	o.For, o.Store, o.Grow = model, k.fromStore(model), true
+	o := s.newOrder(false, victim, "")
+	o.For, o.FromStore, o.AddsCopy = model, s.fromStore(model), true
 	return o, true
 }
 
@@ -222,16 +222,16 @@
 
 // saturatedModel returns the model with the highest gain of one more copy, among those that this
 // target does not hold and whose copies are all saturated.
-func (k *Keeper) saturatedModel() (model string, gain float64) {
-	for _, m := range slices.Sorted(maps.Keys(k.demand)) {
-		d := k.demand[m]
-		_, held := k.report.Models[m]
-		_, known := k.engine.Models[m]
-		if held || !known || d.Copies == 0 || d.Pressed < d.Copies {
+func (s *Scheduler) saturatedModel() (model string, gain float64) {
+	for _, m := range slices.Sorted(maps.Keys(s.demand)) {
+		d := s.demand[m]
+		_, held := s.report.Models[m]
+		_, known := s.config.Models[m]
+		if held || !known || d.Copies == 0 || d.Saturated < d.Copies {
 			continue
 		}
 		n := float64(d.Copies)
-		if g := d.WorthPerSecond / (n * (n + 1)); g > gain {
+		if g := d.ValuePerSecond / (n * (n + 1)); g > gain {
 			model, gain = m, g
 		}
 	}
@@ -239,16 +239,16 @@
 }
 
 // cheapestEviction returns the held model whose eviction from this target costs least.
-func (k *Keeper) cheapestEviction(now time.Time) (model string, loss float64) {
+func (s *Scheduler) cheapestEviction(now time.Time) (model string, loss float64) {
 	loss = math.Inf(1)
-	for _, m := range slices.Sorted(maps.Keys(k.report.Models)) {
-		if now.Before(k.keepUntil[m]) || k.hasWaiters(m) {
+	for _, m := range slices.Sorted(maps.Keys(s.report.Models)) {
+		if now.Before(s.keepUntil[m]) || s.hasWaiters(m) {
 			continue
 		}
-		d := k.demand[m]
+		d := s.demand[m]
 		n := float64(max(1, d.Copies))
-		l := d.WorthPerSecond / max(0.5, n*(n-1))
-		if d.Pressed > 0 {
+		l := d.ValuePerSecond / max(0.5, n*(n-1))
+		if d.Saturated > 0 {
 			l *= saturatedLossFactor
 		}
 		if l < loss {
--- a/coord/residency/retries.go
+++ b/coord/residency/retries.go
@@ -29,41 +29,41 @@
 
 // expectRetry records that a refused caller will retry once the model can be ready. It reports
 // whether the model will be loaded for the retry.
-func (k *Keeper) expectRetry(w Want, ready time.Duration, now time.Time) bool {
-	if len(k.retries[w.Model]) < maxRetriesPerModel {
-		k.retries[w.Model] = append(k.retries[w.Model], retry{w.Worth, now.Add(ready + retryGrace)})
+func (s *Scheduler) expectRetry(w Waiter, ready time.Duration, now time.Time) bool {
+	if len(s.retries[w.Model]) < maxRetriesPerModel {
+		s.retries[w.Model] = append(s.retries[w.Model], retry{w.Value, now.Add(ready + retryGrace)})
 	}
-	return k.retriesJustifyLoad(w.Model)
+	return s.retriesJustifyLoad(w.Model)
 }
 
 // retriesJustifyLoad reports whether enough retries are expected for a model to load it.
-func (k *Keeper) retriesJustifyLoad(model string) bool {
+func (s *Scheduler) retriesJustifyLoad(model string) bool {
 	least := 1
-	if k.fromStore(model) {
+	if s.fromStore(model) {
 		least = minStoreRetries
 	}
-	return len(k.retries[model]) >= least
+	return len(s.retries[model]) >= least
 }
 
 // expireRetries removes the expected retries for models that are held, and those whose time has
 // passed.
-func (k *Keeper) expireRetries(now time.Time) {
-	for model, list := range k.retries {
+func (s *Scheduler) expireRetries(now time.Time) {
+	for model, list := range s.retries {
 		list = slices.DeleteFunc(list, func(r retry) bool { return now.After(r.until) })
-		k.retries[model] = list
-		if _, held := k.report.Models[model]; held || len(list) == 0 {
-			delete(k.retries, model)
+		s.retries[model] = list
+		if _, held := s.report.Models[model]; held || len(list) == 0 {
+			delete(s.retries, model)
 		}
 	}
 }
 
 // retryValue is the total value of the retries expected for a model, 0 if they do not justify a load.
-func (k *Keeper) retryValue(model string) float64 {
-	if !k.retriesJustifyLoad(model) {
+func (s *Scheduler) retryValue(model string) float64 {
+	if !s.retriesJustifyLoad(model) {
 		return 0
 	}
 	sum := 0.0
-	for _, r := range k.retries[model] {
+	for _, r := range s.retries[model] {
 		sum += r.value
 	}
 	return sum
--- a/coord/residency/retries_test.go
+++ b/coord/residency/retries_test.go
@@ -14,9 +14,9 @@
 const shortWait = 1500 * time.Millisecond
 
 // expectRefused adds a request with a short wait and expects that it is refused at once.
-func (t *fakeTarget) expectRefused(id, model string, retries bool) residency.Verdict {
+func (t *fakeTarget) expectRefused(id, model string, retries bool) residency.WaitResult {
 	GinkgoHelper()
-	w := residency.Want{ID: id, Model: model, Worth: 1, Until: t.now.Add(shortWait), Retries: retries}
+	w := residency.Waiter{ID: id, Model: model, Value: 1, Deadline: t.now.Add(shortWait), WillRetry: retries}
 	v, resolved := t.keeper.Add(w, t.now)
 	Expect(resolved).To(BeTrue())
 	Expect(v.Held).To(BeFalse())
@@ -31,7 +31,7 @@
 		t.report.OnDisk = []string{"c"}
 		t.observe()
 		v := t.expectRefused("1", "c", true)
-		Expect(v.Expected).To(BeTrue())
+		Expect(v.WillLoad).To(BeTrue())
 		retry := t.now.Add(v.RetryAfter)
 		unload := t.takeOrder()
 		Expect(unload).To(And(HaveField("Load", false), HaveField("For", "c")))
@@ -51,7 +51,7 @@
 		t := newFakeTarget("a", "b")
 		t.report.OnDisk = []string{"c"}
 		t.observe()
-		Expect(t.expectRefused("1", "c", false).Expected).To(BeFalse())
+		Expect(t.expectRefused("1", "c", false).WillLoad).To(BeFalse())
 		t.expectNoOrder()
 	})
 
@@ -69,12 +69,12 @@
 	// Guards against occupying the weight store with models that a single caller asked for.
 	It("loads from the weight store only for several expected retries", func() {
 		t := newFakeTarget("a", "b")
-		Expect(t.expectRefused("1", "d", true).Expected).To(BeFalse())
+		Expect(t.expectRefused("1", "d", true).WillLoad).To(BeFalse())
 		t.expectNoOrder()
 		for i := range 2 {
 			t.expectRefused(fmt.Sprint(i), "d", true)
 		}
-		Expect(t.takeOrder()).To(And(HaveField("Load", false), HaveField("For", "d"), HaveField("Store", true)))
+		Expect(t.takeOrder()).To(And(HaveField("Load", false), HaveField("For", "d"), HaveField("FromStore", true)))
 	})
 
 	// Guards against evicting a busy model for one retry.
@@ -82,7 +82,7 @@
 		t := newFakeTarget("a", "b")
 		t.report.OnDisk = []string{"c"}
 		t.observe()
-		t.keeper.SetDemand(map[string]residency.Demand{"a": {WorthPerSecond: 5, Copies: 1}, "b": {WorthPerSecond: 5, Copies: 1}})
+		t.keeper.SetDemand(map[string]residency.Demand{"a": {ValuePerSecond: 5, Copies: 1}, "b": {ValuePerSecond: 5, Copies: 1}})
 		t.expectRefused("1", "c", true)
 		t.expectNoOrder()
 	})
--- a/coord/residency/store.go
+++ b/coord/residency/store.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Gate limits the loads from the weight store over the whole fleet, and the copies of a model that
-// are added at once. It is not safe for concurrent use.
+// LoadLimiter limits the loads from the weight store over the whole fleet, and the copies of a
+// model that are added at once. It is not safe for concurrent use.
 //
 // Load pattern: a shift of demand makes many targets load from the store at once.
 // Without it: above the store's capacity all loads slow down in proportion and finish late together,
 // or more loads begin in a window than the platform allows.
 // Rule: one limiter, at the control leader, grants permits. A new leader, which lacks its
 // predecessor's permits, assumes a full window.
-type Gate struct {
+type LoadLimiter struct {
 	perSecond       float64 // limit on the loads from the store that begin, as a mean over window
 	window          time.Duration
 	storeLoadStarts []time.Time          // within the window, oldest first
 	permits         map[string]permit    // by target host
 	storeLimit      int                  // limit on concurrent loads from the store, adapted to how long they take
 	lastSlowLoad    time.Time            // when a load from the store was last found too slow
-	deferredSince   map[string]time.Time // by model: when its growth from the store was first deferred
+	deferredSince   map[string]time.Time // by model: when adding a copy from the store was first deferred
 }
 
 // permit is a granted load that has not ended.
 type permit struct {
 	grantedAt  time.Time
-	load       Load
+	load       LoadRequest
 	concurrent int // loads from the store under way when it began, including itself
 }
 
-// Load describes a load that a host requests a permit for.
-type Load struct {
-	Model  string
-	Store  bool // from the weight store; otherwise from the target's own disk or memory
-	Grow   bool // one more copy of a model that others hold
-	Copies int  // number of targets that hold the model
-	// Near is the number of targets that have the weights in memory or on disk and could load
+// LoadRequest describes a load that a host requests a permit for.
+type LoadRequest struct {
+	Model     string
+	FromStore bool // from the weight store; otherwise from the target's own disk or memory
+	AddsCopy  bool // one more copy of a model that others hold
+	Copies    int  // number of targets that hold the model
+	// LocalCopies is the number of targets that have the weights in memory or on disk and could load
 	// them: they do not hold the model, load nothing and are below capacity.
-	Near  int
-	Usual time.Duration // load time without other loads from the store; 0: not known
+	LocalCopies     int
+	UncontendedTime time.Duration // load time without other loads from the store; 0: not known
 }
 
 const (
@@ -45,26 +45,26 @@
 	initialStoreLimit = 3
 	minStoreLimit     = 2
 	maxStoreLimit     = 8
-	// Ratios of a load's duration to its usual time. Above slowLoadRatio too many loads ran
+	// Ratios of a load's duration to its uncontended time. Above slowLoadRatio too many loads ran
 	// concurrently; below fastLoadRatio there may have been room for more.
 	slowLoadRatio = 1.3
 	fastLoadRatio = 1.12
 	// permitTimeout ends a permit whose load was not reported as ended. The limit is not raised
 	// within this time after a slow load.
 	permitTimeout = 20 * time.Second
-	// storeDeferral is how long growth from the weight store is deferred in favor of targets that
+	// storeDeferral is how long adding a copy from the store is deferred in favor of targets that
 	// have the weights in memory or on disk. A request later than deferralExpiry after the
 	// start of the deferral begins a new one.
 	storeDeferral  = 1500 * time.Millisecond
 	deferralExpiry = 4 * time.Second
-	// permitRetryDelay is the least delay before a refused host may ask again.
+	// permitRetryDelay is the least delay before a refused host may try again.
 	permitRetryDelay = 200 * time.Millisecond
 )
 
-// NewGate returns a limiter that permits perSecond loads from the store on average over window. Its
-// window is full at now: the loads that a predecessor may have permitted are not known.
-func NewGate(perSecond float64, window time.Duration, now time.Time) *Gate {
-	g := &Gate{perSecond: perSecond, window: window, permits: map[string]permit{}, deferredSince: map[string]time.Time{}, storeLimit: initialStoreLimit}
+// NewLoadLimiter returns a limiter that permits perSecond loads from the store on average over
+// window. Its window is full at now: the loads that a predecessor may have permitted are not known.
+func NewLoadLimiter(perSecond float64, window time.Duration, now time.Time) *LoadLimiter {
+	g := &LoadLimiter{perSecond: perSecond, window: window, permits: map[string]permit{}, deferredSince: map[string]time.Time{}, storeLimit: initialStoreLimit}
 	n := int(perSecond * window.Seconds())
 	for i := range n {
 		g.storeLoadStarts = append(g.storeLoadStarts, now.Add(-window+time.Duration(float64(window)*float64(i)/float64(n))))
@@ -73,28 +73,28 @@
 }
 
 // Configure sets a new limit on the loads from the store that begin in a window.
-func (g *Gate) Configure(perSecond float64, window time.Duration) {
+func (g *LoadLimiter) Configure(perSecond float64, window time.Duration) {
 	g.perSecond, g.window = perSecond, window
 }
 
-// Ask grants a host a permit for a load, or returns the delay before it should ask again.
-func (g *Gate) Ask(host string, l Load, now time.Time) (granted bool, retryAfter time.Duration) {
+// TryAcquire grants a host a permit for a load, or returns the delay before it should try again.
+func (g *LoadLimiter) TryAcquire(host string, l LoadRequest, now time.Time) (granted bool, retryAfter time.Duration) {
 	g.expire(now)
 	delete(g.permits, host) // a host loads one model at a time: its earlier load has ended
 	store, growing := g.countLoads(l.Model)
 	switch {
-	case l.Grow && growing >= max(1, l.Copies):
+	case l.AddsCopy && growing >= max(1, l.Copies):
 		// The copies of a model at most double at a time: how much more copies relieve
 		// the load is seen only when they serve.
 		return false, permitRetryDelay
-	case l.Grow && l.Store && g.deferToLocalCopies(l, now):
+	case l.AddsCopy && l.FromStore && g.deferToLocalCopies(l, now):
 		return false, permitRetryDelay
-	case l.Store && store >= g.storeLimit-g.reservedSlots(l):
+	case l.FromStore && store >= g.storeLimit-g.reservedSlots(l):
 		return false, g.untilStoreSlot(now)
-	case l.Store && float64(len(g.storeLoadStarts)+1) > g.perSecond*g.window.Seconds():
+	case l.FromStore && float64(len(g.storeLoadStarts)+1) > g.perSecond*g.window.Seconds():
 		return false, permitRetryDelay
 	}
-	if l.Store {
+	if l.FromStore {
 		g.storeLoadStarts = append(g.storeLoadStarts, now)
 		store++
 	}
@@ -106,12 +106,12 @@
 // now, so that a target with the weights in memory or on disk can add the copy instead.
 //
 // Load pattern: demand returns to a model whose weights are still on the disks of several targets.
-// Without it: a target without them asks first, and its load from the store uses up the model's
-// allowed growth for 6 s, in which loads from disk could have added four copies.
-// Rule: refuse growth from the store for storeDeferral, then allow it, as the other targets may be
-// occupied in ways that are not known here.
-func (g *Gate) deferToLocalCopies(l Load, now time.Time) bool {
-	if l.Near == 0 {
+// Without it: a target without them asks first, and its load from the store exhausts the
+// limit on added copies for 6 s, in which loads from disk could have added four copies.
+// Rule: refuse to add a copy from the store for storeDeferral, then allow it, as the other targets
+// may be occupied in ways that are not known here.
+func (g *LoadLimiter) deferToLocalCopies(l LoadRequest, now time.Time) bool {
+	if l.LocalCopies == 0 {
 		delete(g.deferredSince, l.Model)
 		return false
 	}
@@ -125,8 +125,8 @@
 
 // reservedSlots returns how many slots a load must leave free for copies of busy models. Many
 // requests wait for such a copy, but often only one for a rarely used model.
-func (g *Gate) reservedSlots(l Load) int {
-	if l.Grow {
+func (g *LoadLimiter) reservedSlots(l LoadRequest) int {
+	if l.AddsCopy {
 		return 0
 	}
 	return 1
@@ -134,12 +134,12 @@
 
 // countLoads returns the number of loads from the store under way, and the number of copies that
 // are being added to a model.
-func (g *Gate) countLoads(model string) (store, growing int) {
+func (g *LoadLimiter) countLoads(model string) (store, growing int) {
 	for _, p := range g.permits {
-		if p.load.Store {
+		if p.load.FromStore {
 			store++
 		}
-		if p.load.Grow && p.load.Model == model {
+		if p.load.AddsCopy && p.load.Model == model {
 			growing++
 		}
 	}
@@ -148,29 +148,29 @@
 
 // untilStoreSlot returns how long it is until the first of the running loads from the store is
 // expected to end, at least permitRetryDelay.
-func (g *Gate) untilStoreSlot(now time.Time) time.Duration {
+func (g *LoadLimiter) untilStoreSlot(now time.Time) time.Duration {
 	best := time.Duration(0)
 	for _, p := range g.permits {
-		if left := p.load.Usual - now.Sub(p.grantedAt); p.load.Store && left > 0 && (best == 0 || left < best) {
+		if left := p.load.UncontendedTime - now.Sub(p.grantedAt); p.load.FromStore && left > 0 && (best == 0 || left < best) {
 			best = left
 		}
 	}
 	return max(permitRetryDelay, best)
 }
 
-// Done records that a host's load of a model has ended, or will not begin, and adapts the limit on
-// concurrent loads to its duration. A load that ended within half its usual time never began and
-// does not change the limit.
-func (g *Gate) Done(host, model string, now time.Time) {
+// Release records that a host's load of a model has ended, or will not begin, and adapts the
+// limit on concurrent loads to its duration. A load that ended within half its uncontended time
+// never began and does not change the limit.
+func (g *LoadLimiter) Release(host, model string, now time.Time) {
 	p, ok := g.permits[host]
 	if !ok || p.load.Model != model {
 		return // late report: the host has a permit for another load by now, or none
 	}
 	delete(g.permits, host)
-	if !p.load.Store || p.load.Usual <= 0 || now.Sub(p.grantedAt) < p.load.Usual/2 {
+	if !p.load.FromStore || p.load.UncontendedTime <= 0 || now.Sub(p.grantedAt) < p.load.UncontendedTime/2 {
 		return
 	}
-	ratio := now.Sub(p.grantedAt).Seconds() / p.load.Usual.Seconds()
+	ratio := now.Sub(p.grantedAt).Seconds() / p.load.UncontendedTime.Seconds()
 	switch {
 	case ratio > slowLoadRatio && p.concurrent > minStoreLimit:
 		g.storeLimit, g.lastSlowLoad = max(minStoreLimit, min(g.storeLimit, p.concurrent-1)), now
@@ -180,7 +180,7 @@
 }
 
 // expire removes load starts that have left the window, and permits that have timed out.
-func (g *Gate) expire(now time.Time) {
+func (g *LoadLimiter) expire(now time.Time) {
 	for len(g.storeLoadStarts) > 0 && now.Sub(g.storeLoadStarts[0]) > g.window {
 		g.storeLoadStarts = g.storeLoadStarts[1:]
 	}
--- a/coord/routing/affinity.go
+++ b/coord/routing/affinity.go
@@ -38,8 +38,8 @@
 // returns false if the request has neither.
 func keyOf(q Request) (affinityKey, bool) {
 	switch {
-	case q.Prefix != 0:
-		return affinityKey{q.Name, q.Prefix}, true
+	case q.PrefixHash != 0:
+		return affinityKey{q.Name, q.PrefixHash}, true
 	case q.Adapter != "":
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(q.Adapter))
--- a/coord/routing/correction.go
+++ b/coord/routing/correction.go
@@ -48,7 +48,7 @@
 	for _, v := range confirmed {
 		inView[v.Target] = true
 		fix, ok := fixes[v.Target]
-		if ok && !fix.held && v.Order <= fix.order && now.Before(fix.until) {
+		if ok && !fix.held && v.Version <= fix.order && now.Before(fix.until) {
 			continue
 		}
 		out = append(out, v.Target)
@@ -81,7 +81,7 @@
 func (r *Router) confirmedOrder(name, target string) uint64 {
 	for _, v := range r.confirmed[name] {
 		if v.Target == target {
-			return v.Order
+			return v.Version
 		}
 	}
 	return 0
--- a/coord/routing/invariant_test.go
+++ b/coord/routing/invariant_test.go
@@ -42,7 +42,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"pick": func(t *rapid.T) {
-				q := routing.Request{Name: "m", Prefix: rapid.Uint64Range(0, 3).Draw(t, "prefix"), Careful: rapid.Bool().Draw(t, "careful")}
+				q := routing.Request{Name: "m", PrefixHash: rapid.Uint64Range(0, 3).Draw(t, "prefix"), NoProbe: rapid.Bool().Draw(t, "careful")}
 				for range rapid.IntRange(0, n).Draw(t, "excluded") {
 					q.Exclude = append(q.Exclude, target.Draw(t, "exclude"))
 				}
@@ -66,7 +66,7 @@
 				r.Finished(name, m, outcome, time.Duration(rapid.IntRange(0, 999).Draw(t, "ms"))*time.Millisecond, now)
 			},
 			"report": func(t *rapid.T) {
-				r.Reported(target.Draw(t, "target"), routing.Report{Running: rapid.IntRange(0, 20).Draw(t, "running"), Limit: rapid.IntRange(0, 8).Draw(t, "limit")}, now)
+				r.Reported(target.Draw(t, "target"), routing.LoadReport{Running: rapid.IntRange(0, 20).Draw(t, "running"), Limit: rapid.IntRange(0, 8).Draw(t, "limit")}, now)
 			},
 			"refuse": func(t *rapid.T) {
 				name := target.Draw(t, "target")
--- a/coord/routing/router.go
+++ b/coord/routing/router.go
@@ -102,18 +102,18 @@
 		return t.name, true
 	}
 	// No healthy target is left: use a recovering one.
-	c.sample, c.request.Careful = 0, false
+	c.sample, c.request.NoProbe = 0, false
 	if t := r.pickOfTwo(set, c); t != nil {
 		return t.name, true
 	}
 	return "", false
 }
 
-// Least returns the target with the shortest estimated wait of all that Pick may choose.
+// PickLeastLoaded returns the target with the shortest estimated wait of all that Pick may choose.
 // It examines each replica, so it is meant for the few requests that would be refused at
 // the better of two random candidates: with eight replicas of a model, one of them idle,
 // every second request was refused because of another replica's queue.
-func (r *Router) Least(q Request, now time.Time) (string, bool) {
+func (r *Router) PickLeastLoaded(q Request, now time.Time) (string, bool) {
 	set := r.sets[q.Name]
 	if set == nil {
 		return "", false
@@ -186,23 +186,23 @@
 	return nil
 }
 
-// usable reports whether the choice may take t. A Careful request needs a closed circuit;
+// usable reports whether the choice may take t. A NoProbe request needs a closed circuit;
 // others get a recovering target's allowed share.
 func (r *Router) usable(t *target, c choice) bool {
 	if t.leaving(c.now) || slices.Contains(c.request.Exclude, t.name) {
 		return false
 	}
 	share := t.circuit.allowedShare(r.settings, c.now)
-	if c.request.Careful {
+	if c.request.NoProbe {
 		return share == 1
 	}
 	return share > c.sample
 }
 
 // better returns the target with the shorter estimated wait. A fraction SlowProbeShare of
-// the requests that are not Careful gets b without comparison.
+// the requests that are not NoProbe gets b without comparison.
 func (r *Router) better(a, b *target, c choice) *target {
-	if !c.request.Careful && r.rnd.Float64() < r.settings.SlowProbeShare {
+	if !c.request.NoProbe && r.rnd.Float64() < r.settings.SlowProbeShare {
 		return b
 	}
 	if r.estimatedWait(b, c.now) < r.estimatedWait(a, c.now) {
@@ -251,7 +251,7 @@
 }
 
 // Reported records the load that a target returned with a reply.
-func (r *Router) Reported(name string, p Report, now time.Time) {
+func (r *Router) Reported(name string, p LoadReport, now time.Time) {
 	t := r.targets[name]
 	if t == nil {
 		return
--- a/coord/routing/routing_test.go
+++ b/coord/routing/routing_test.go
@@ -26,7 +26,7 @@
 	for i := range n {
 		name := fmt.Sprintf("t%04d", i)
 		v.Targets[name] = routing.TargetView{FailureDomain: fmt.Sprintf("d%d", i%3), Concurrency: 8}
-		v.Serving["m"] = append(v.Serving["m"], routing.Replica{Target: name, Order: uint64(i + 1)})
+		v.Serving["m"] = append(v.Serving["m"], routing.Replica{Target: name, Version: uint64(i + 1)})
 	}
 	return v
 }
@@ -60,24 +60,24 @@
 	It("finds the one copy that is free when the others are full", func() {
 		r := newRouter(fleet(8))
 		for i := range 7 {
-			r.Reported(fmt.Sprintf("t%04d", i), routing.Report{Running: 8, Queued: 8, Limit: 8}, start)
+			r.Reported(fmt.Sprintf("t%04d", i), routing.LoadReport{Running: 8, Queued: 8, Limit: 8}, start)
 		}
 		missed := 0
 		for range 100 {
 			if name, _ := r.Pick(m, start); name != "t0007" {
 				missed++
 			}
-			name, ok := r.Least(m, start)
+			name, ok := r.PickLeastLoaded(m, start)
 			Expect(ok).To(BeTrue())
 			Expect(name).To(Equal("t0007"))
 		}
 		AddReportEntry("missed by the better one of two", missed)
 		q := m
 		q.Exclude = []string{"t0007"}
-		name, ok := r.Least(q, start)
+		name, ok := r.PickLeastLoaded(q, start)
 		Expect(ok).To(BeTrue())
 		Expect(name).NotTo(Equal("t0007"))
-		_, ok = r.Least(routing.Request{Name: "other"}, start)
+		_, ok = r.PickLeastLoaded(routing.Request{Name: "other"}, start)
 		Expect(ok).To(BeFalse())
 	})
 
@@ -86,8 +86,8 @@
 	// lowest load.
 	It("spreads a burst between replies by its own requests in flight", func() {
 		r := newRouter(fleet(2))
-		r.Reported("t0000", routing.Report{Running: 4, Limit: 8}, start)
-		r.Reported("t0001", routing.Report{Running: 6, Limit: 8}, start)
+		r.Reported("t0000", routing.LoadReport{Running: 4, Limit: 8}, start)
+		r.Reported("t0001", routing.LoadReport{Running: 6, Limit: 8}, start)
 		got := map[string]int{}
 		for range 6 {
 			name, _ := r.Pick(m, start)
@@ -129,7 +129,7 @@
 		Expect(ok).To(BeFalse())
 
 		newer := fleet(1)
-		newer.Serving["m"][0].Order = 99 // loaded there again in the meantime
+		newer.Serving["m"][0].Version = 99 // loaded there again in the meantime
 		r.SetView(newer, start.Add(2*time.Second))
 		_, ok = r.Pick(m, start.Add(2*time.Second))
 		Expect(ok).To(BeTrue())
@@ -176,7 +176,7 @@
 		}
 		later := start.Add(2 * time.Second)
 		q := m
-		q.Careful = true
+		q.NoProbe = true
 		for range 50 {
 			name, _ := r.Pick(q, later)
 			Expect(name).To(Equal("t0001"), "a Careful request is not used as a probe")
@@ -202,12 +202,12 @@
 
 	It("keeps a prefix where it ran while that target has room", func() {
 		r := newRouter(fleet(6))
-		q := routing.Request{Name: "m", Prefix: 7}
+		q := routing.Request{Name: "m", PrefixHash: 7}
 		first, _ := r.Pick(q, start)
 		r.Started(first, q, start)
 		again, _ := r.Pick(q, start)
 		Expect(again).To(Equal(first))
-		r.Reported(first, routing.Report{Running: 8, Limit: 8}, start)
+		r.Reported(first, routing.LoadReport{Running: 8, Limit: 8}, start)
 		moved, _ := r.Pick(q, start)
 		Expect(moved).NotTo(Equal(first))
 	})
--- a/coord/routing/target.go
+++ b/coord/routing/target.go
@@ -10,7 +10,7 @@
 	// the last report and so are not included in it.
 	inFlight           int
 	startedSinceReport int
-	report             Report
+	report             LoadReport
 	reportedAt         time.Time
 	// slowdown is the moving mean of the ratio of this target's service time to the
 	// mean of all targets of the same name; 1 is average.
--- a/coord/routing/types.go
+++ b/coord/routing/types.go
@@ -5,10 +5,10 @@
 // Replica is a target that serves a model or a plain service.
 type Replica struct {
 	Target string
-	// Order is the fencing number of the replica's newest order, or 0 for a
+	// Version is the fencing number of the replica's newest order, or 0 for a
 	// plain service. A correction from a refusal overrides the view until the
 	// view shows a newer order.
-	Order uint64
+	Version uint64
 }
 
 // View is the state confirmed by control. Plain services are keyed by ServiceName, so
@@ -33,21 +33,21 @@
 
 // Request holds the properties of a request that routing depends on.
 type Request struct {
-	Name    string   // base model, or ServiceName
-	Adapter string   // empty: none
-	Prefix  uint64   // hash of the prompt's prefix; 0: not known
-	Exclude []string // targets that already refused this request
-	// Careful requests are never used to probe a slow or recovering target. It is
+	Name       string   // base model, or ServiceName
+	Adapter    string   // empty: none
+	PrefixHash uint64   // hash of the prompt's prefix; 0: not known
+	Exclude    []string // targets that already refused this request
+	// NoProbe requests are never used to probe a slow or recovering target. It is
 	// set for calls that are not repeatable or are close to their deadline.
-	Careful bool
+	NoProbe bool
 }
 
-// Report is the load of a target as returned with a reply.
-type Report struct {
-	Running int
-	Queued  int
-	Limit   int
-	Service time.Duration // recent mean service time; 0: not known
+// LoadReport is the load of a target as returned with a reply.
+type LoadReport struct {
+	Running     int
+	Queued      int
+	Limit       int
+	ServiceTime time.Duration // recent mean service time; 0: not known
 }
 
 // Outcome classifies the end of an attempt by what it says about the target's health.
--- a/coord/standings/demand.go
+++ b/coord/standings/demand.go
@@ -16,11 +16,11 @@
 // maxListWait limits how long a table counts as incomplete because the list was not read.
 const maxListWait = 3 * time.Second
 
-// Filling reports whether the table is incomplete after a leader change: the platform's list
+// Incomplete reports whether the table is incomplete after a leader change: the platform's list
 // was not read yet, or a listed target of a service that runs models has no agent report. The
 // list does not contain the models that a target holds. The table counts as complete after
 // maxListWait without a list, or after demandWarmUp with one, even if reports are missing.
-func Filling(t *Table, u *Use, runsModels func(service string) bool, now time.Time) bool {
+func Incomplete(t *Table, u *RateMeter, runsModels func(service string) bool, now time.Time) bool {
 	age := u.age(now)
 	switch {
 	case t.listedAt.IsZero():
@@ -43,14 +43,14 @@
 // Demand is the fleet-wide request rate of a model and the number of targets that serve it.
 type Demand struct {
 	Model          string
-	WorthPerSecond float64 // requests a second, weighted by priority rank
+	ValuePerSecond float64 // requests a second, weighted by priority rank
 	Copies         int     // targets that hold it and are not draining
-	Pressed        int     // how many of these are saturated
+	Saturated      int     // how many of these are saturated
 }
 
-// Sum returns the demand for each model that is requested or held, ordered by name.
+// SumDemand returns the demand for each model that is requested or held, ordered by name.
 // Known is false while the record is younger than demandWarmUp and would understate the demand.
-func Sum(t *Table, u *Use, now time.Time) (demand []Demand, known bool) {
+func SumDemand(t *Table, u *RateMeter, now time.Time) (demand []Demand, known bool) {
 	if u.age(now) < demandWarmUp {
 		return nil, false
 	}
@@ -68,13 +68,13 @@
 		for _, m := range s.Models {
 			d := entry(m.Name)
 			d.Copies++
-			if s.Pressed() {
-				d.Pressed++
+			if s.Saturated() {
+				d.Saturated++
 			}
 		}
 	}
 	for _, model := range u.Models(now) {
-		entry(model).WorthPerSecond = u.PerSecond(model, now)
+		entry(model).ValuePerSecond = u.PerSecond(model, now)
 	}
 	for _, d := range sums { // any order: sorted below
 		demand = append(demand, *d)
--- a/coord/standings/feed.go
+++ b/coord/standings/feed.go
@@ -95,16 +95,16 @@
 
 // decayed returns the demand after an interval without requests.
 func (d Demand) decayed(elapsed time.Duration) Demand {
-	d.WorthPerSecond *= math.Exp(-max(0, elapsed.Seconds()) / demandTimeConstant.Seconds())
+	d.ValuePerSecond *= math.Exp(-max(0, elapsed.Seconds()) / demandTimeConstant.Seconds())
 	return d
 }
 
 // approxEqual reports whether two demands have equal counts of copies, and rates that are both
 // below negligibleRate or differ by at most demandTolerance.
 func (d Demand) approxEqual(other Demand) bool {
-	larger := max(d.WorthPerSecond, other.WorthPerSecond)
-	diff := math.Abs(d.WorthPerSecond - other.WorthPerSecond)
-	return d.Copies == other.Copies && d.Pressed == other.Pressed && (larger < negligibleRate || diff <= demandTolerance*larger)
+	larger := max(d.ValuePerSecond, other.ValuePerSecond)
+	diff := math.Abs(d.ValuePerSecond - other.ValuePerSecond)
+	return d.Copies == other.Copies && d.Saturated == other.Saturated && (larger < negligibleRate || diff <= demandTolerance*larger)
 }
 
 // DemandCache is an agent's copy of the demand. It is not safe for concurrent use.
@@ -133,8 +133,8 @@
 // Position returns the epoch and version of the last applied update, to request the next.
 func (c *DemandCache) Position() (epoch, version uint64) { return c.epoch, c.version }
 
-// Take applies an update.
-func (c *DemandCache) Take(u DemandUpdate, now time.Time) {
+// Apply applies an update.
+func (c *DemandCache) Apply(u DemandUpdate, now time.Time) {
 	if u.Whole {
 		clear(c.entries)
 	}
@@ -148,7 +148,7 @@
 // are neither held nor requested.
 func (c *DemandCache) Current(now time.Time) []Demand {
 	maps.DeleteFunc(c.entries, func(_ string, e cacheEntry) bool {
-		return e.demand.Copies == 0 && e.demand.decayed(now.Sub(e.at)).WorthPerSecond < minRate
+		return e.demand.Copies == 0 && e.demand.decayed(now.Sub(e.at)).ValuePerSecond < minRate
 	})
 	out := make([]Demand, 0, len(c.entries))
 	for _, e := range c.entries { // any order: sorted below
--- a/coord/standings/feed_test.go
+++ b/coord/standings/feed_test.go
@@ -21,7 +21,7 @@
 		demand := map[string]standings.Demand{}
 		decay := func(d time.Duration) {
 			for model, one := range demand {
-				one.WorthPerSecond *= math.Exp(-d.Seconds() / 6)
+				one.ValuePerSecond *= math.Exp(-d.Seconds() / 6)
 				demand[model] = one
 			}
 		}
@@ -39,8 +39,8 @@
 				model := fmt.Sprint("m-", rapid.IntRange(0, 5).Draw(t, "model"))
 				copies := rapid.IntRange(0, 3).Draw(t, "copies")
 				demand[model] = standings.Demand{
-					Model: model, WorthPerSecond: rapid.Float64Range(0, 500).Draw(t, "worth"),
-					Copies: copies, Pressed: rapid.IntRange(0, copies).Draw(t, "pressed"),
+					Model: model, ValuePerSecond: rapid.Float64Range(0, 500).Draw(t, "value"),
+					Copies: copies, Saturated: rapid.IntRange(0, copies).Draw(t, "pressed"),
 				}
 			},
 			"no demand": func(t *rapid.T) {
@@ -62,7 +62,7 @@
 					since = 0
 				}
 				changed, whole := feed.Since(since, at)
-				cache.Take(standings.DemandUpdate{Epoch: epoch, Version: feed.Version(), Whole: whole, Changed: changed}, at)
+				cache.Apply(standings.DemandUpdate{Epoch: epoch, Version: feed.Version(), Whole: whole, Changed: changed}, at)
 				got := map[string]standings.Demand{}
 				for _, d := range cache.Current(at) {
 					got[d.Model] = d
@@ -70,8 +70,8 @@
 				for i := range 6 {
 					model := fmt.Sprint("m-", i)
 					have, want := got[model], demand[model]
-					diff := math.Abs(have.WorthPerSecond - want.WorthPerSecond)
-					if have.Copies != want.Copies || have.Pressed != want.Pressed || diff > 0.21*want.WorthPerSecond+0.001 {
+					diff := math.Abs(have.ValuePerSecond - want.ValuePerSecond)
+					if have.Copies != want.Copies || have.Saturated != want.Saturated || diff > 0.21*want.ValuePerSecond+0.001 {
 						t.Fatalf("agent's demand: got %+v, want %+v", have, want)
 					}
 				}
@@ -86,14 +86,14 @@
 	feed, at := standings.NewDemandFeed(), now
 	var sum []standings.Demand
 	for i := range 700 {
-		sum = append(sum, standings.Demand{Model: fmt.Sprintf("m-%03d", i), WorthPerSecond: 20, Copies: 1})
+		sum = append(sum, standings.Demand{Model: fmt.Sprintf("m-%03d", i), ValuePerSecond: 20, Copies: 1})
 	}
 	feed.Publish(sum, at)
 	before := feed.Version()
 	for i := range sum {
-		sum[i].WorthPerSecond *= math.Exp(-0.5 / 6)
+		sum[i].ValuePerSecond *= math.Exp(-0.5 / 6)
 	}
-	sum[7].Copies, sum[9].WorthPerSecond = 2, 40
+	sum[7].Copies, sum[9].ValuePerSecond = 2, 40
 	feed.Publish(sum, at.Add(500*time.Millisecond))
 	changed, whole := feed.Since(before, at.Add(500*time.Millisecond))
 	g.Expect(whole).To(BeFalse())
--- a/coord/standings/homes.go
+++ b/coord/standings/homes.go
@@ -17,8 +17,8 @@
 // and within a step by a hash of model and target (rendezvous hashing), so that a target that
 // joins or leaves moves only its own models.
 
-// Asked is a model to load, and how long its load takes.
-type Asked struct {
+// LoadTimes is a model to load, and how long its load takes.
+type LoadTimes struct {
 	Model     string
 	FromStore time.Duration // from the weight store
 	FromDisk  time.Duration // from the target's own copy
@@ -33,11 +33,11 @@
 	saturationPenalty = time.Second
 )
 
-// Homes returns the targets that could load a model, ordered by when they would hold it,
+// RankForLoad returns the targets that could load a model, ordered by when they would hold it,
 // the earliest first. The list is not changed.
-func Homes(list []Standing, a Asked) []Standing {
+func RankForLoad(list []Status, a LoadTimes) []Status {
 	out := slices.Clone(list)
-	slices.SortFunc(out, func(x, y Standing) int {
+	slices.SortFunc(out, func(x, y Status) int {
 		return cmp.Or(
 			cmp.Compare(a.forecast(x)/forecastStep, a.forecast(y)/forecastStep),
 			cmp.Compare(weight(y.Address, a.Model), weight(x.Address, a.Model)),
@@ -47,18 +47,18 @@
 }
 
 // forecast estimates how long it takes until a target would hold the model.
-func (a Asked) forecast(s Standing) time.Duration {
+func (a LoadTimes) forecast(s Status) time.Duration {
 	if s.Loading == a.Model {
 		return 0 // no other target would be enough earlier to justify a second load
 	}
 	wait := s.LoadWait
-	if slices.Contains(s.Awaited, a.Model) {
+	if slices.Contains(s.PendingModels, a.Model) {
 		return wait // LoadWait includes its load
 	}
-	if s.Pressed() {
+	if s.Saturated() {
 		wait += saturationPenalty
 	}
-	if slices.Contains(s.AtHand, a.Model) {
+	if slices.Contains(s.CachedModels, a.Model) {
 		return wait + a.FromDisk
 	}
 	return wait + a.FromStore
--- a/coord/standings/known.go
+++ b/coord/standings/known.go
@@ -14,93 +14,93 @@
 
 // Update is the reply to a poll of the leader's table.
 type Update struct {
-	Changed []Standing
-	Loads   []LoadUpdate // of targets whose other fields did not change
-	Gone    []string     // instances removed from the table
-	Whole   bool         // Changed is the entire table
-	Filling bool         // the table is incomplete
+	Changed    []Status
+	Loads      []LoadUpdate // of targets whose other fields did not change
+	Removed    []string     // instances removed from the table
+	Whole      bool         // Changed is the entire table
+	Incomplete bool         // the table is incomplete
 }
 
-// Known is an entry host's copy of the target table. It is not safe for concurrent use.
-type Known struct {
-	rows        map[string]*Standing // by instance
-	unconfirmed bool                 // rows may include targets that the leader's table lacks
-	wasComplete bool                 // at least one complete table was received
+// TableCache is an entry host's copy of the target table. It is not safe for concurrent use.
+type TableCache struct {
+	rows        map[string]*Status // by instance
+	unconfirmed bool               // rows may include targets that the leader's table lacks
+	wasComplete bool               // at least one complete table was received
 }
 
 // Change is a target that was added, whose Draining changed, or that was removed.
 type Change struct {
-	Standing *Standing
-	Gone     bool
+	Status  *Status
+	Removed bool
 }
 
-// NewKnown returns an empty copy that is incomplete until the first update.
-func NewKnown() *Known { return &Known{rows: map[string]*Standing{}} }
+// NewTableCache returns an empty copy that is incomplete until the first update.
+func NewTableCache() *TableCache { return &TableCache{rows: map[string]*Status{}} }
 
 // Get returns a target's status, or nil for an unknown instance. It is read-only.
-func (k *Known) Get(instance string) *Standing { return k.rows[instance] }
+func (c *TableCache) Get(instance string) *Status { return c.rows[instance] }
 
 // All returns the status of all targets by instance. The map and its values are read-only.
-func (k *Known) All() map[string]*Standing { return k.rows }
+func (c *TableCache) All() map[string]*Status { return c.rows }
 
 // Complete reports whether an instance that is not in the copy does not exist. That holds from
 // the first complete table on, also while the next leader's table is incomplete.
-func (k *Known) Complete() bool { return k.wasComplete }
+func (c *TableCache) Complete() bool { return c.wasComplete }
 
-// Stale reports whether the entire table must be requested: u, the last update, is from a
+// NeedsFullSync reports whether the entire table must be requested: u, the last update, is from a
 // complete table, and the copy may still have rows that this table lacks.
-func (k *Known) Stale(u Update) bool { return k.unconfirmed && !u.Filling }
+func (c *TableCache) NeedsFullSync(u Update) bool { return c.unconfirmed && !u.Incomplete }
 
-// Take applies an update and returns the changes in order of instance.
-func (k *Known) Take(u Update) []Change {
+// Apply applies an update and returns the changes in order of instance.
+func (c *TableCache) Apply(u Update) []Change {
 	var changes []Change
-	k.wasComplete = k.wasComplete || !u.Filling
-	gone := u.Gone
+	c.wasComplete = c.wasComplete || !u.Incomplete
+	removed := u.Removed
 	switch {
-	case u.Whole && u.Filling:
-		k.unconfirmed = len(k.rows) > 0
+	case u.Whole && u.Incomplete:
+		c.unconfirmed = len(c.rows) > 0
 	case u.Whole:
-		k.unconfirmed = false
-		gone = k.absentFrom(u.Changed)
+		c.unconfirmed = false
+		removed = c.absentFrom(u.Changed)
 	}
-	for _, id := range gone {
-		if row := k.rows[id]; row != nil {
+	for _, id := range removed {
+		if row := c.rows[id]; row != nil {
 			changes = append(changes, Change{row, true})
-			delete(k.rows, id)
+			delete(c.rows, id)
 		}
 	}
 	for _, s := range u.Changed {
-		previous := k.rows[s.Instance]
-		if u.Filling {
+		previous := c.rows[s.Instance]
+		if u.Incomplete {
 			s = keepReport(s, previous)
 		}
-		k.rows[s.Instance] = &s
+		c.rows[s.Instance] = &s
 		if previous == nil || previous.Draining != s.Draining {
 			changes = append(changes, Change{&s, false})
 		}
 	}
-	k.applyLoads(u.Loads)
-	slices.SortStableFunc(changes, func(a, b Change) int { return strings.Compare(a.Standing.Instance, b.Standing.Instance) })
+	c.applyLoads(u.Loads)
+	slices.SortStableFunc(changes, func(a, b Change) int { return strings.Compare(a.Status.Instance, b.Status.Instance) })
 	return changes
 }
 
 // applyLoads updates the loads of known targets. It replaces rows instead of changing them,
 // because readers hold pointers to them.
-func (k *Known) applyLoads(loads []LoadUpdate) {
+func (c *TableCache) applyLoads(loads []LoadUpdate) {
 	for _, l := range loads {
-		previous := k.rows[l.Instance]
+		previous := c.rows[l.Instance]
 		if previous == nil {
 			continue
 		}
 		row := *previous
 		row.Load, row.Version = l.Load, l.Version
-		k.rows[l.Instance] = &row
+		c.rows[l.Instance] = &row
 	}
 }
 
 // absentFrom returns the known instances that an entire table lacks, sorted.
-func (k *Known) absentFrom(table []Standing) []string {
-	absent := maps.Clone(k.rows)
+func (c *TableCache) absentFrom(table []Status) []string {
+	absent := maps.Clone(c.rows)
 	for _, s := range table {
 		delete(absent, s.Instance)
 	}
@@ -109,7 +109,7 @@
 
 // keepReport returns the previous row if it has an agent's report and s, from an incomplete
 // table, has only the list's entry. Draining and Version are taken over from s.
-func keepReport(s Standing, previous *Standing) Standing {
+func keepReport(s Status, previous *Status) Status {
 	if s.Reported || previous == nil || !previous.Reported {
 		return s
 	}
--- a/coord/standings/pace.go
+++ b/coord/standings/pace.go
@@ -20,8 +20,8 @@
 	maxPollInterval = ReportTTL / 2
 )
 
-// AskEvery returns the interval between the polls of one entry host, given the number of
+// PollInterval returns the interval between the polls of one entry host, given the number of
 // entry hosts.
-func AskEvery(hosts int) time.Duration {
+func PollInterval(hosts int) time.Duration {
 	return min(maxPollInterval, minPollInterval*time.Duration(max(hosts, unthrottledHosts))/unthrottledHosts)
 }
--- a/coord/standings/table.go
+++ b/coord/standings/table.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Held is a model that a target holds ready to serve, with its loaded adapters.
-type Held struct {
+// HeldModel is a model that a target holds ready to serve, with its loaded adapters.
+type HeldModel struct {
 	Name     string
 	Adapters []string
 }
 
-// Standing is the status of one target.
-type Standing struct {
+// Status is the state of one target.
+type Status struct {
 	Instance      string
 	Service       string
 	Address       string // IP:port
 	FailureDomain string
 	Slots         int // requests that the target runs at once
 	Draining      bool
-	BornUnixMs    int64 // start time, in milliseconds since the Unix epoch
-	Models        []Held
+	StartedUnixMs int64 // start time, in milliseconds since the Unix epoch
+	Models        []HeldModel
 
 	// The fields below are set by agents' reports only.
-	Reported bool     // the row comes from an agent's report
-	Agent    string   // IP:port of the agent; empty if none is known
-	AtHand   []string // models of which the target has a local copy, in memory or on disk
+	Reported     bool     // the row comes from an agent's report
+	Agent        string   // IP:port of the agent; empty if none is known
+	CachedModels []string // models of which the target has a local copy, in memory or on disk
 	Load
 
 	Version            uint64 // of the table at the row's last change
@@ -37,11 +37,11 @@
 
 // Load is the part of a target's status that changes with nearly every report.
 type Load struct {
-	Running  int           // requests being processed
-	Queued   int           // requests waiting at the target
-	Loading  string        // model that is being loaded; empty if none
-	LoadWait time.Duration // until the target could begin another load
-	Awaited  []string      // models that requests wait for and whose load has not begun
+	Running       int           // requests being processed
+	Queued        int           // requests waiting at the target
+	Loading       string        // model that is being loaded; empty if none
+	LoadWait      time.Duration // until the target could begin another load
+	PendingModels []string      // models that requests wait for and whose load has not begun
 }
 
 // LoadUpdate is the new load of a target whose other fields the receiver already has.
@@ -53,11 +53,11 @@
 
 // DescribedBy reports whether a client at a version of the table has the current value of all
 // fields but Load.
-func (s *Standing) DescribedBy(version uint64) bool { return s.DescriptionVersion <= version }
+func (s *Status) DescribedBy(version uint64) bool { return s.DescriptionVersion <= version }
 
-// Pressed reports whether a target is saturated: requests are queued, or at least
+// Saturated reports whether a target is saturated: requests are queued, or at least
 // saturationThreshold of its slots are in use.
-func Pressed(running, queued, slots int) bool {
+func Saturated(running, queued, slots int) bool {
 	return queued > 0 || float64(running) >= saturationThreshold*float64(max(1, slots))
 }
 
@@ -65,8 +65,8 @@
 // variation of load between two reports.
 const saturationThreshold = 0.8
 
-// Pressed reports whether the target is saturated according to its agent's report.
-func (s *Standing) Pressed() bool { return s.Reported && Pressed(s.Running, s.Queued, s.Slots) }
+// Saturated reports whether the target is saturated according to its agent's report.
+func (s *Status) Saturated() bool { return s.Reported && Saturated(s.Running, s.Queued, s.Slots) }
 
 // Lifetimes of agents' reports.
 const (
@@ -92,10 +92,10 @@
 // Rule: a client that has a target's other fields is sent its load only.
 type Table struct {
 	version         uint64
-	rows            map[string]*Standing // by instance
-	byAddress       map[string][]string  // instances of rows, by address
-	listed          map[string]Standing  // by instance, as last read
-	listedByAddress map[string][]string  // instances of listed, by address
+	rows            map[string]*Status  // by instance
+	byAddress       map[string][]string // instances of rows, by address
+	listed          map[string]Status   // by instance, as last read
+	listedByAddress map[string][]string // instances of listed, by address
 	listedAt        time.Time
 	rebuiltAt       time.Time         // when the whole table was last rebuilt
 	reports         map[string]report // by address of the target
@@ -105,7 +105,7 @@
 }
 
 type report struct {
-	standing Standing
+	standing Status
 	at       time.Time
 	alive    bool   // the target answers its agent
 	sequence uint64 // order of receipt
@@ -129,14 +129,14 @@
 // table, such as a former leader's, with this one.
 func NewTable(firstVersion uint64) *Table {
 	return &Table{
-		version: firstVersion, rows: map[string]*Standing{}, byAddress: map[string][]string{},
-		listed: map[string]Standing{}, listedByAddress: map[string][]string{}, reports: map[string]report{},
+		version: firstVersion, rows: map[string]*Status{}, byAddress: map[string][]string{},
+		listed: map[string]Status{}, listedByAddress: map[string][]string{}, reports: map[string]report{},
 	}
 }
 
 // SetList replaces the platform's list with the one read at now.
-func (t *Table) SetList(list []Standing, now time.Time) {
-	t.listed = make(map[string]Standing, len(list))
+func (t *Table) SetList(list []Status, now time.Time) {
+	t.listed = make(map[string]Status, len(list))
 	t.listedByAddress = make(map[string][]string, len(list))
 	for _, s := range list {
 		t.listed[s.Instance] = s
@@ -148,7 +148,7 @@
 
 // Report records an agent's report on the target at s.Address. Alive is false if the target
 // does not answer its agent.
-func (t *Table) Report(s Standing, alive bool, now time.Time) {
+func (t *Table) Report(s Status, alive bool, now time.Time) {
 	previous, known := t.reports[s.Address]
 	t.reportCount++
 	t.reports[s.Address] = report{standing: s, at: now, alive: alive, sequence: t.reportCount}
@@ -173,8 +173,8 @@
 func (t *Table) Version() uint64 { return t.version }
 
 // All returns the status of all targets in order of instance. The rows are read-only.
-func (t *Table) All() []*Standing {
-	out := make([]*Standing, 0, len(t.rows))
+func (t *Table) All() []*Status {
+	out := make([]*Status, 0, len(t.rows))
 	for _, id := range slices.Sorted(maps.Keys(t.rows)) {
 		out = append(out, t.rows[id])
 	}
@@ -183,7 +183,7 @@
 
 // Since returns the rows that changed and the instances that were removed after a version.
 // Whole reports that changed is the entire table and replaces what the client has.
-func (t *Table) Since(version uint64) (changed []*Standing, gone []string, whole bool) {
+func (t *Table) Since(version uint64) (changed []*Status, gone []string, whole bool) {
 	whole = version == 0 || version > t.version ||
 		len(t.removed) == maxRemovals && t.removed[0].version > version
 	if whole {
@@ -194,7 +194,7 @@
 			changed = append(changed, t.rows[t.changes[i].instance])
 		}
 	}
-	slices.SortFunc(changed, func(a, b *Standing) int { return strings.Compare(a.Instance, b.Instance) })
+	slices.SortFunc(changed, func(a, b *Status) int { return strings.Compare(a.Instance, b.Instance) })
 	for _, r := range t.removed {
 		if r.version > version {
 			gone = append(gone, r.instance)
@@ -221,7 +221,7 @@
 
 // rebuildAddress recomputes the rows at one address and records the changes.
 func (t *Table) rebuildAddress(address string, now time.Time) {
-	fresh := map[string]Standing{}
+	fresh := map[string]Status{}
 	for _, id := range t.listedByAddress[address] {
 		if s := t.listed[id]; !t.contradicted(s, now) {
 			fresh[id] = s
@@ -233,7 +233,7 @@
 }
 
 // replaceRows replaces the rows of the old instances by fresh, and records what changed.
-func (t *Table) replaceRows(old []string, fresh map[string]Standing) {
+func (t *Table) replaceRows(old []string, fresh map[string]Status) {
 	changed := false
 	for _, id := range old {
 		if _, kept := fresh[id]; !kept {
@@ -275,8 +275,8 @@
 	}
 }
 
-func (t *Table) buildRows(now time.Time) map[string]Standing {
-	out := make(map[string]Standing, len(t.listed))
+func (t *Table) buildRows(now time.Time) map[string]Status {
+	out := make(map[string]Status, len(t.listed))
 	for id, s := range t.listed {
 		if !t.contradicted(s, now) {
 			out[id] = s
@@ -294,7 +294,7 @@
 
 // addReported adds the row of the report at an address if it is valid, and drops it if it is
 // older than DownReportTTL.
-func (t *Table) addReported(address string, now time.Time, out map[string]Standing) {
+func (t *Table) addReported(address string, now time.Time, out map[string]Status) {
 	r, known := t.reports[address]
 	switch {
 	case !known:
@@ -306,14 +306,14 @@
 }
 
 // contradicted reports whether a report at a listed target's address contradicts the list.
-func (t *Table) contradicted(s Standing, now time.Time) bool {
+func (t *Table) contradicted(s Status, now time.Time) bool {
 	r, known := t.reports[s.Address]
 	return known && t.contradicts(r, s, now)
 }
 
 // contradicts reports whether a valid report shows that a listed target does not exist: the
 // target does not answer, or another instance answers at its address.
-func (t *Table) contradicts(r report, s Standing, now time.Time) bool {
+func (t *Table) contradicts(r report, s Status, now time.Time) bool {
 	if s.Service != r.standing.Service {
 		return false // the address was reassigned to another service
 	}
@@ -324,7 +324,7 @@
 }
 
 // merge adds the list's Draining and Slots to a report.
-func (t *Table) merge(s Standing) Standing {
+func (t *Table) merge(s Status) Status {
 	s.Reported = true
 	listed, ok := t.listed[s.Instance]
 	if !ok {
@@ -337,16 +337,16 @@
 	return s
 }
 
-func sameDescription(a, b *Standing) bool {
+func sameDescription(a, b *Status) bool {
 	return a.Instance == b.Instance && a.Service == b.Service && a.Address == b.Address &&
 		a.FailureDomain == b.FailureDomain && a.Slots == b.Slots && a.Draining == b.Draining &&
 		a.Reported == b.Reported && a.Agent == b.Agent &&
-		slices.Equal(a.AtHand, b.AtHand) && slices.EqualFunc(a.Models, b.Models, sameHeld)
+		slices.Equal(a.CachedModels, b.CachedModels) && slices.EqualFunc(a.Models, b.Models, sameHeld)
 }
 
 func sameLoad(a, b Load) bool {
 	return a.Running == b.Running && a.Queued == b.Queued && a.Loading == b.Loading &&
-		a.LoadWait == b.LoadWait && slices.Equal(a.Awaited, b.Awaited)
+		a.LoadWait == b.LoadWait && slices.Equal(a.PendingModels, b.PendingModels)
 }
 
-func sameHeld(a, b Held) bool { return a.Name == b.Name && slices.Equal(a.Adapters, b.Adapters) }
+func sameHeld(a, b HeldModel) bool { return a.Name == b.Name && slices.Equal(a.Adapters, b.Adapters) }
--- a/coord/standings/table_test.go
+++ b/coord/standings/table_test.go
@@ -17,14 +17,14 @@
 func TestIncrementalUpdateMatchesRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, rebuilt := standings.NewTable(1), standings.NewTable(1)
-		clientRows, version, at := map[string]standings.Standing{}, uint64(0), now
-		target := func() standings.Standing {
+		clientRows, version, at := map[string]standings.Status{}, uint64(0), now
+		target := func() standings.Status {
 			return listed(fmt.Sprint("i-", rapid.IntRange(0, 5).Draw(t, "instance")), fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(0, 3).Draw(t, "address")))
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"list": func(t *rapid.T) {
 				seen := map[string]bool{}
-				var list []standings.Standing
+				var list []standings.Status
 				for range rapid.IntRange(0, 5).Draw(t, "targets") {
 					if s := target(); !seen[s.Instance] {
 						seen[s.Instance] = true
@@ -37,7 +37,7 @@
 			"report": func(t *rapid.T) {
 				s, alive := target(), rapid.IntRange(0, 4).Draw(t, "alive") > 0
 				s.Running = rapid.IntRange(0, 3).Draw(t, "running")
-				s.Models = []standings.Held{{Name: fmt.Sprint("m-", rapid.IntRange(0, 2).Draw(t, "model"))}}
+				s.Models = []standings.HeldModel{{Name: fmt.Sprint("m-", rapid.IntRange(0, 2).Draw(t, "model"))}}
 				table.Report(s, alive, at)
 				rebuilt.Report(s, alive, at)
 				rebuilt.Expire(at)
@@ -101,7 +101,7 @@
 func BenchmarkReportAndPoll(b *testing.B) {
 	const targets = 3000
 	table := standings.NewTable(1)
-	var list []standings.Standing
+	var list []standings.Status
 	for i := range targets {
 		list = append(list, listed(fmt.Sprint("i-", i), fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)))
 	}
@@ -121,7 +121,7 @@
 func TestReportChangesOneRow(t *testing.T) {
 	g := NewWithT(t)
 	table := standings.NewTable(1)
-	table.SetList([]standings.Standing{listed("i-1", "10.0.0.1:1"), listed("i-2", "10.0.0.2:1")}, now)
+	table.SetList([]standings.Status{listed("i-1", "10.0.0.1:1"), listed("i-2", "10.0.0.2:1")}, now)
 	s := listed("i-2", "10.0.0.2:1")
 	table.Report(s, true, now)
 	s.Running = 3
@@ -137,21 +137,21 @@
 func TestNearCountsTargetsThatCanLoadFromTheirOwnCopy(t *testing.T) {
 	g := NewWithT(t)
 	table := standings.NewTable(1)
-	for i, change := range []func(*standings.Standing){
-		func(*standings.Standing) {},
-		func(s *standings.Standing) { s.Models = []standings.Held{{Name: "m"}} },
-		func(s *standings.Standing) { s.Loading = "other" },
-		func(s *standings.Standing) { s.Draining = true },
-		func(s *standings.Standing) { s.Running = s.Slots },
-		func(s *standings.Standing) { s.AtHand = nil },
+	for i, change := range []func(*standings.Status){
+		func(*standings.Status) {},
+		func(s *standings.Status) { s.Models = []standings.HeldModel{{Name: "m"}} },
+		func(s *standings.Status) { s.Loading = "other" },
+		func(s *standings.Status) { s.Draining = true },
+		func(s *standings.Status) { s.Running = s.Slots },
+		func(s *standings.Status) { s.CachedModels = nil },
 	} {
 		s := listed(fmt.Sprint("i-", i), fmt.Sprintf("10.0.0.%d:1", i))
-		s.AtHand = []string{"m"}
+		s.CachedModels = []string{"m"}
 		change(&s)
 		table.Report(s, true, now)
 	}
-	g.Expect(table.Near("m")).To(Equal(1))
-	g.Expect(table.Near("n")).To(BeZero())
+	g.Expect(table.IdleWithCopy("m")).To(Equal(1))
+	g.Expect(table.IdleWithCopy("n")).To(BeZero())
 }
 
 // Guards against sending the models of all targets with each change of their load.
@@ -166,7 +166,7 @@
 	changed, _, _ := table.Since(before)
 	g.Expect(changed).To(HaveLen(1))
 	g.Expect(changed[0].DescribedBy(before)).To(BeTrue())
-	s.Models = append(s.Models, standings.Held{Name: "other"})
+	s.Models = append(s.Models, standings.HeldModel{Name: "other"})
 	table.Report(s, true, now)
 	changed, _, _ = table.Since(before)
 	g.Expect(changed[0].DescribedBy(before)).To(BeFalse())
--- a/coord/standings/use.go
+++ b/coord/standings/use.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Use measures the fleet's demand for each model as an exponentially decaying rate, in requests
-// a second weighted by priority rank. It is not safe for concurrent use.
+// RateMeter measures the fleet's demand for each model as an exponentially decaying rate, in
+// requests a second weighted by priority rank. It is not safe for concurrent use.
 //
 // Load pattern: a few models get most requests, and which ones changes during the day.
 // Without it: agents see only their own target and unload the last copy of a model that callers
 // of other entry hosts request.
 // Rule: the leader sums the demand over all entry hosts, and agents decide by that.
-type Use struct {
-	startedAt time.Time
-	rates     map[string]*rate
+type RateMeter struct {
+	since time.Time
+	rates map[string]*rate
 }
 
 type rate struct {
@@ -31,21 +31,21 @@
 // minRate is the rate per second below which a model counts as not requested.
 const minRate = 1e-4
 
-// NewUse returns an empty record that covers the time from now on.
-func NewUse(now time.Time) *Use { return &Use{startedAt: now, rates: map[string]*rate{}} }
+// NewRateMeter returns an empty record that covers the time from now on.
+func NewRateMeter(now time.Time) *RateMeter { return &RateMeter{since: now, rates: map[string]*rate{}} }
 
 // age returns for how long demand has been recorded.
-func (u *Use) age(now time.Time) time.Duration { return now.Sub(u.startedAt) }
+func (m *RateMeter) age(now time.Time) time.Duration { return now.Sub(m.since) }
 
-// Add records requests for a model; worth is their number, weighted by priority rank.
-func (u *Use) Add(model string, worth float64, now time.Time) {
-	r := u.rates[model]
+// Add records requests for a model; value is their number, weighted by priority rank.
+func (m *RateMeter) Add(model string, value float64, now time.Time) {
+	r := m.rates[model]
 	if r == nil {
 		r = &rate{at: now}
-		u.rates[model] = r
+		m.rates[model] = r
 	}
 	r.decay(now)
-	r.perSecond += worth / demandTimeConstant.Seconds()
+	r.perSecond += value / demandTimeConstant.Seconds()
 }
 
 func (r *rate) decay(now time.Time) {
@@ -58,21 +58,21 @@
 // PerSecond returns the demand for a model, in weighted requests a second. While the record is
 // young relative to demandTimeConstant, the average is scaled up by the share of the window
 // that it covers; otherwise a new leader would consider every model rarely used.
-func (u *Use) PerSecond(model string, now time.Time) float64 {
-	r := u.rates[model]
+func (m *RateMeter) PerSecond(model string, now time.Time) float64 {
+	r := m.rates[model]
 	if r == nil {
 		return 0
 	}
 	r.decay(now)
-	observed := max(u.age(now), demandWarmUp)
+	observed := max(m.age(now), demandWarmUp)
 	return r.perSecond / (1 - math.Exp(-observed.Seconds()/demandTimeConstant.Seconds()))
 }
 
 // Models returns the models with demand, ordered by name.
-func (u *Use) Models(now time.Time) []string {
-	maps.DeleteFunc(u.rates, func(_ string, r *rate) bool {
+func (m *RateMeter) Models(now time.Time) []string {
+	maps.DeleteFunc(m.rates, func(_ string, r *rate) bool {
 		r.decay(now)
 		return r.perSecond < minRate
 	})
-	return slices.Sorted(maps.Keys(u.rates))
+	return slices.Sorted(maps.Keys(m.rates))
 }
--- a/coord/target/queue.go
+++ b/coord/target/queue.go
@@ -55,13 +55,13 @@
 	prefixes *Prefixes
 	queue    fair.Queue
 	waiting  map[string]*waitingWork
-	suspects int                        // waiting, that must run alone
-	spaces   [fair.Bands]map[string]int // waiting, by workspace
+	suspects int                           // waiting, that must run alone
+	spaces   [fair.NumBands]map[string]int // waiting, by workspace
 	running  map[string]*run
 	long     int
 	alone    bool // a request that must run alone runs
 	draining bool
-	speed    fair.Speed
+	speed    fair.ServiceStats
 	tokens   float64 // moving mean of the expected tokens of what started
 }
 
@@ -85,7 +85,7 @@
 		prefixes: NewPrefixes(),
 		waiting:  make(map[string]*waitingWork),
 		running:  make(map[string]*run),
-		spaces:   [fair.Bands]map[string]int{{}, {}, {}},
+		spaces:   [fair.NumBands]map[string]int{{}, {}, {}},
 	}
 }
 
@@ -134,7 +134,7 @@
 	if len(q.waiting) == 0 && len(q.running) < q.limit.Current() {
 		return 0
 	}
-	return q.speed.Drain(q.queue.Ahead(w.Workspace, w.Weight, w.Band))
+	return q.speed.DrainTime(q.queue.TokensAhead(w.Workspace, w.Weight, w.Band))
 }
 
 // Pop returns the request to start now, if one may. Call it until it returns none,
@@ -206,7 +206,7 @@
 	if ok {
 		q.speed.Observe(r.work.Band, now.Sub(r.started))
 	}
-	q.speed.End(now, r.work.Tokens, len(q.waiting) > 0)
+	q.speed.ObserveEnd(now, r.work.Tokens, len(q.waiting) > 0)
 }
 
 // Cancel takes out a request that nobody waits for. Waited says that it never ran;
--- a/coord/workspace/account.go
+++ b/coord/workspace/account.go
@@ -173,7 +173,7 @@
 
 func (a *account) addRefund(r Refund) {
 	for i := range a.refunds {
-		if a.refunds[i].Charged == r.Charged {
+		if a.refunds[i].ChargeSequence == r.ChargeSequence {
 			a.refunds[i].Tokens += r.Tokens
 			return
 		}
@@ -184,13 +184,13 @@
 	}
 	oldest := 0
 	for i := range a.refunds {
-		if a.refunds[i].Charged < a.refunds[oldest].Charged {
+		if a.refunds[i].ChargeSequence < a.refunds[oldest].ChargeSequence {
 			oldest = i
 		}
 	}
 	// Merging under the smaller sequence can only make the refund smaller.
 	a.refunds[oldest].Tokens += r.Tokens
-	a.refunds[oldest].Charged = min(a.refunds[oldest].Charged, r.Charged)
+	a.refunds[oldest].ChargeSequence = min(a.refunds[oldest].ChargeSequence, r.ChargeSequence)
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/coord/workspace/bound_test.go
+++ b/coord/workspace/bound_test.go
@@ -80,7 +80,7 @@
 		if n := len(f.toOwner); n > 0 {
 			p := f.toOwner[pick(max(0, n-6), n-1)]
 			if p.key == f.keys[p.host] {
-				f.holders[p.host].Failed(p.draw.Sequence, f.clock(p.host))
+				f.holders[p.host].DrawFailed(p.draw.Sequence, f.clock(p.host))
 			}
 		}
 	}},
--- a/coord/workspace/draw.go
+++ b/coord/workspace/draw.go
@@ -35,8 +35,8 @@
 // Refund returns the unused part of charges, in tokens, together with the sequence of the
 // Draw that first reported them as spent.
 type Refund struct {
-	Tokens  int64
-	Charged uint64
+	Tokens         int64
+	ChargeSequence uint64
 }
 
 // Reply is the owner's response to a Draw, with one grant for each item.
@@ -48,14 +48,14 @@
 
 // Grant is the part of a Reply for one workspace, in tokens.
 type Grant struct {
-	Workspace  string
-	Keep       int64         // part of Holding that stays valid; the rest is void
-	Tokens     int64         // newly granted
-	Valid      time.Duration // Keep and Tokens expire this long after the Draw was sent
-	RetryAfter time.Duration // expected time until Need can be met, if it was not
-	LineFull   bool          // Need was not met and the queue is too long: refuse the queued requests
-	Backlog    time.Duration // time in which the rate yields the tokens that all hosts wait for
-	Room       time.Duration // by how much the backlog may grow before calls are refused
-	Share      int64         // most tokens that the host may keep ahead of need
-	Unsettled  bool          // the owner is still recovering its buckets: ask again after RetryAfter
+	Workspace     string
+	Keep          int64         // part of Holding that stays valid; the rest is void
+	Tokens        int64         // newly granted
+	Valid         time.Duration // Keep and Tokens expire this long after the Draw was sent
+	RetryAfter    time.Duration // expected time until Need can be met, if it was not
+	QueueFull     bool          // Need was not met and the queue is too long: refuse the queued requests
+	Backlog       time.Duration // time in which the rate yields the tokens that all hosts wait for
+	QueueRoom     time.Duration // by how much the backlog may grow before calls are refused
+	PrefetchLimit int64         // most tokens that the host may keep ahead of need
+	Recovering    bool          // the owner is still recovering its buckets: ask again after RetryAfter
 }
--- a/coord/workspace/fleet_test.go
+++ b/coord/workspace/fleet_test.go
@@ -108,7 +108,7 @@
 
 func (f *fleet) extend() {
 	f.lease = f.now.Add(time.Second)
-	f.owner().Extend(f.lease)
+	f.owner().ExtendLease(f.lease)
 }
 
 // takeOver adds a new owner after the end of the lease, as a new control leader does.
@@ -167,7 +167,7 @@
 	}
 	reply, err := f.owner().Draw(d, f.now)
 	if err != nil {
-		f.holders[i].Failed(d.Sequence, f.clock(i))
+		f.holders[i].DrawFailed(d.Sequence, f.clock(i))
 		return 0, 0
 	}
 	return f.handleOutcomes(i, f.holders[i].Reply(reply, f.clock(i)))
--- a/coord/workspace/grant.go
+++ b/coord/workspace/grant.go
@@ -59,17 +59,17 @@
 		b, known := o.buckets[item.Workspace]
 		switch {
 		case !known && o.recovery != nil:
-			g.RetryAfter, g.Unsettled = recoveryRetryAfter, true
+			g.RetryAfter, g.Recovering = recoveryRetryAfter, true
 		case !known:
-			g.RetryAfter, g.Unsettled = GrantTTL, true
+			g.RetryAfter, g.Recovering = GrantTTL, true
 		default:
 			b.queue.removeStale(now)
 			longest := o.maxQueueDelay(b, now)
 			b.serve(&g, item, queueEntry{host: d.From, need: item.Need, want: item.Want, seen: now}, longest, active)
 			b.grant(g.Tokens)
-			g.Share = b.limit.prefetchPerHost(active)
+			g.PrefetchLimit = b.limit.prefetchPerHost(active)
 			g.Backlog = b.backlog()
-			g.Room = b.queue.roomPerHost(longest + b.spareTime())
+			g.QueueRoom = b.queue.roomPerHost(longest + b.spareTime())
 			h.tokens += g.Tokens
 			h.granted = g.Tokens
 		}
@@ -102,8 +102,8 @@
 	b.noteCall(item.Need)
 	if item.Need > free {
 		g.RetryAfter = b.limit.FillTime(item.Need - left)
-		g.LineFull = !b.queue.has(e.host) && b.backlog() > longest
-		if !g.LineFull {
+		g.QueueFull = !b.queue.has(e.host) && b.backlog() > longest
+		if !g.QueueFull {
 			b.queue.enqueue(e)
 		}
 		return
--- a/coord/workspace/holder.go
+++ b/coord/workspace/holder.go
@@ -138,7 +138,7 @@
 	}
 	a.unreported = true
 	a.spent.refund(c.slot, unused)
-	a.addRefund(Refund{Tokens: unused, Charged: c.sequence})
+	a.addRefund(Refund{Tokens: unused, ChargeSequence: c.sequence})
 }
 
 // Cancel removes a queued request. No outcome follows.
@@ -157,7 +157,7 @@
 }
 
 // Poll returns the message to send now, or nil. One message is in flight at a time, until
-// Reply or Failed is called for it or ReplyTimeout passes.
+// Reply or DrawFailed is called for it or ReplyTimeout passes.
 func (h *Holder) Poll(now time.Time) *Draw {
 	if h.inFlight && now.Sub(h.sentAt) < ReplyTimeout {
 		return nil
@@ -253,16 +253,16 @@
 	a.expires = h.sentAt.Add(g.Valid)
 	a.excessExpires = h.sentAt.Add(ReplyTimeout)
 	a.retryAfter = g.RetryAfter
-	if g.Unsettled {
+	if g.Recovering {
 		a.lastAnswer = time.Time{} // discards the queue state of an earlier owner
 	} else {
-		a.backlog, a.queueRoom, a.prefetchLimit, a.queuedInReport = g.Backlog, g.Room, g.Share, a.queuedAtSend
+		a.backlog, a.queueRoom, a.prefetchLimit, a.queuedInReport = g.Backlog, g.QueueRoom, g.PrefetchLimit, a.queuedAtSend
 		a.noteAnswer(now)
 	}
 	a.nextAsk = now.Add(g.RetryAfter)
 	a.dropExpired(now)
 	outcomes := h.serveQueue(g.Workspace, a, now)
-	if g.LineFull {
+	if g.QueueFull {
 		outcomes = append(outcomes, a.refuseAll(g.Workspace, now)...)
 	}
 	return outcomes
@@ -279,9 +279,9 @@
 	return append(outcomes, a.refuseLate(ws, now, a.retryAfter)...)
 }
 
-// Failed handles a failed send or call for the message with that sequence. The next message
+// DrawFailed handles a failed send or call for the message with that sequence. The next message
 // is sent after a short backoff.
-func (h *Holder) Failed(sequence uint64, now time.Time) {
+func (h *Holder) DrawFailed(sequence uint64, now time.Time) {
 	if h.inFlight && sequence == h.sequence {
 		h.inFlight = false
 		h.backoffUntil = now.Add(failureBackoff)
@@ -300,8 +300,8 @@
 	return outcomes
 }
 
-// Wake returns the next time at which Poll or Tick must be called if no event comes first.
-func (h *Holder) Wake(now time.Time) time.Time {
+// NextWake returns the next time at which Poll or Tick must be called if no event comes first.
+func (h *Holder) NextWake(now time.Time) time.Time {
 	next := h.nextPoll()
 	for _, name := range h.names {
 		a := h.accounts[name]
--- a/coord/workspace/load_test.go
+++ b/coord/workspace/load_test.go
@@ -187,7 +187,7 @@
 		if n%1000 == 999 {
 			now = now.Add(101 * time.Millisecond)
 			if d := h.Poll(now); d != nil {
-				f.owner().Extend(now.Add(time.Second))
+				f.owner().ExtendLease(now.Add(time.Second))
 				reply, _ := f.owner().Draw(d, now)
 				h.Reply(reply, now)
 			}
@@ -208,7 +208,7 @@
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				now = now.Add(time.Millisecond)
-				o.Extend(now.Add(time.Second))
+				o.ExtendLease(now.Add(time.Second))
 				sequence := uint64(n/hosts + 1)
 				_, err := o.Draw(&workspace.Draw{
 					From: workspace.HostKey{Host: fmt.Sprint("h", n%hosts)}, Epoch: 1,
--- a/coord/workspace/owner.go
+++ b/coord/workspace/owner.go
@@ -88,9 +88,9 @@
 	return o
 }
 
-// Extend sets the end of the leader's lease, after which Draw fails. A leader that resumes
+// ExtendLease sets the end of the leader's lease, after which Draw fails. A leader that resumes
 // after a freeze therefore grants nothing: another one may own the buckets by then.
-func (o *Owner) Extend(until time.Time) {
+func (o *Owner) ExtendLease(until time.Time) {
 	o.leaseEnd = until
 }
 
@@ -228,7 +228,7 @@
 	for _, f := range item.Refunds {
 		// A charge that was reported to an earlier owner is not refunded: the level that
 		// this owner started with may not include it.
-		if since, booked := h.reports.step(f.Charged); booked {
+		if since, booked := h.reports.step(f.ChargeSequence); booked {
 			b.refund(f.Tokens, since)
 		}
 	}
--- a/coord/workspace/settle.go
+++ b/coord/workspace/settle.go
@@ -41,11 +41,11 @@
 	return r
 }
 
-// FirstRuns names incarnations of entry hosts that had no earlier one. As nothing was charged
-// on such a host before, its report covers the whole window, whatever its uptime. Without
-// this, a fleet that has just been started refuses calls for burst/rate seconds, because the
+// MarkFirstIncarnations names incarnations of entry hosts that had no earlier one. As nothing
+// was charged on such a host before, its report covers the whole window, whatever its uptime.
+// Without this, a fleet that has just been started refuses calls for burst/rate seconds, because the
 // uptime of every process is shorter than the window.
-func (o *Owner) FirstRuns(hosts []HostKey) {
+func (o *Owner) MarkFirstIncarnations(hosts []HostKey) {
 	if o.recovery == nil {
 		return
 	}
--- a/coord/workspace/stories_test.go
+++ b/coord/workspace/stories_test.go
@@ -129,7 +129,7 @@
 		f := newFleet(1, limit)
 		f.lease = f.now
 		f.takeOver()
-		f.owner().FirstRuns(f.incarnations)
+		f.owner().MarkFirstIncarnations(f.incarnations)
 		_, _ = f.charge(0, 1500)
 		charged, refused := f.exchange(0)
 		Expect(charged).To(Equal(1))
@@ -144,7 +144,7 @@
 		f.exchange(1)
 		f.lease = f.now
 		f.takeOver()
-		f.owner().FirstRuns(f.incarnations)
+		f.owner().MarkFirstIncarnations(f.incarnations)
 		_, _ = f.charge(0, 1500)
 		charged := 0
 		for f.now.Sub(start) < workspace.MaxWait {
@@ -447,7 +447,7 @@
 	// although nothing was charged, because the uptime of the hosts is shorter than the window.
 	It("gives a workspace that is new under this owner its whole burst", func() {
 		o := workspace.NewOwner(1, nil, []workspace.HostKey{{Host: "h", Incarnation: "1"}}, start)
-		o.Extend(start.Add(time.Minute))
+		o.ExtendLease(start.Add(time.Minute))
 		o.Configure(map[string]workspace.Limit{ws: limit}, start)
 		_, err := o.Draw(&workspace.Draw{From: workspace.HostKey{Host: "h", Incarnation: "1"}, Sequence: 1, Uptime: time.Millisecond}, start)
 		Expect(err).NotTo(HaveOccurred())
--- a/coord/workspace/wait_test.go
+++ b/coord/workspace/wait_test.go
@@ -66,7 +66,7 @@
 	for range span.Milliseconds() {
 		f.ms++
 		f.now = f.now.Add(time.Millisecond)
-		f.owner.Extend(f.now.Add(time.Second))
+		f.owner.ExtendLease(f.now.Add(time.Second))
 		for n := f.r.ExpFloat64(); n < float64(callsPerHost*len(f.holders))/1000; n += f.r.ExpFloat64() {
 			f.call(f.r.Intn(len(f.holders)), f.names[f.r.Intn(len(f.names))])
 		}
--- a/ctl/experiment/control.go
+++ b/ctl/experiment/control.go
@@ -26,10 +26,10 @@
 	return c
 }
 
-func (c *control) list() []placement.Target {
-	var list []placement.Target
+func (c *control) list() []placement.TargetStatus {
+	var list []placement.TargetStatus
 	for _, name := range c.w.names {
-		list = append(list, placement.Target{Name: name, Live: !c.lost[name], Leaving: c.leaving[name]})
+		list = append(list, placement.TargetStatus{Name: name, Live: !c.lost[name], Leaving: c.leaving[name]})
 	}
 	return list
 }
@@ -139,7 +139,7 @@
 	}
 	for _, r := range c.all() {
 		if r.State == coordpb.ReplicaState_REPLICA_STATE_READY && !c.lost[r.Target] {
-			v.Serving[r.Model] = append(v.Serving[r.Model], routing.Replica{Target: r.Target, Order: r.Fencing})
+			v.Serving[r.Model] = append(v.Serving[r.Model], routing.Replica{Target: r.Target, Version: r.Fencing})
 		}
 	}
 	c.w.after(viewLag, func() {
--- a/ctl/experiment/entry.go
+++ b/ctl/experiment/entry.go
@@ -80,7 +80,7 @@
 }
 
 // refused meets a refusal by an agent: the request did not run and goes on.
-func (e *entry) refused(r *request, no *refusal, load routing.Report) {
+func (e *entry) refused(r *request, no *refusal, load routing.LoadReport) {
 	e.chooser.finished(r, routing.Neutral, 0, &load)
 	e.exclude(r)
 	if !no.leaving && !no.notHere {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (e *entry) answered(r *request, took time.Duration, load routing.Report) {
+func (e *entry) answered(r *request, took time.Duration, load routing.LoadReport) {
 	e.chooser.finished(r, routing.Served, took, &load)
 	e.room.done(r, true)
 	e.served[r.model]++
--- a/ctl/experiment/own.go
+++ b/ctl/experiment/own.go
@@ -35,7 +35,7 @@
 func (c *ownChooser) serves(model string) bool { return c.r.Serves(model) }
 
 func (c *ownChooser) request(r *request) routing.Request {
-	return routing.Request{Name: r.model, Adapter: r.adapter, Prefix: r.prefix, Exclude: r.excluded}
+	return routing.Request{Name: r.model, Adapter: r.adapter, PrefixHash: r.prefix, Exclude: r.excluded}
 }
 
 func (c *ownChooser) pick(r *request) (string, bool) {
@@ -48,7 +48,7 @@
 
 func (c *ownChooser) started(r *request) { c.r.Started(r.target, c.request(r), c.w.time()) }
 
-func (c *ownChooser) finished(r *request, o routing.Outcome, took time.Duration, load *routing.Report) {
+func (c *ownChooser) finished(r *request, o routing.Outcome, took time.Duration, load *routing.LoadReport) {
 	// Reported first: the reply's count includes this request or not as the
 	// target says, and Finished takes it off the host's own.
 	if load != nil {
@@ -77,7 +77,7 @@
 	return &ownPlanner{w, p}
 }
 
-func (o *ownPlanner) targets(list []placement.Target) { o.p.SetTargets(list, o.w.time()) }
+func (o *ownPlanner) targets(list []placement.TargetStatus) { o.p.SetTargets(list, o.w.time()) }
 
 func (o *ownPlanner) replicas(list []*coordpb.Replica) { o.p.SetReplicas(list, o.w.time()) }
 
--- a/ctl/experiment/own_order.go
+++ b/ctl/experiment/own_order.go
@@ -35,8 +35,8 @@
 func (o *ownRoom) arrive(r *request) bool {
 	o.forget(r.model)
 	id := strconv.Itoa(r.id)
-	err := o.a.Arrive(calls.Pending{
-		ID: id, Workspace: r.workspace, Destination: r.model, Class: calls.ClassOf(o.w.config.Classes[r.class]),
+	err := o.a.Enqueue(calls.Pending{
+		ID: id, Workspace: r.workspace, Destination: r.model, Class: calls.NewClass(o.w.config.Classes[r.class]),
 		Weight: o.w.config.Workspaces[r.workspace].Rate, Tokens: r.tokens(), Bytes: 1000, Arrived: o.w.time(), Deadline: epoch.Add(r.deadline),
 	}, o.w.time())
 	if err == nil {
@@ -63,10 +63,10 @@
 }
 
 func (o *ownRoom) again(r *request) bool {
-	return o.a.Again(strconv.Itoa(r.id), o.w.time()) == nil
+	return o.a.Requeue(strconv.Itoa(r.id), o.w.time()) == nil
 }
 
-func (o *ownRoom) overload(r *request) { o.a.Overload(strconv.Itoa(r.id), o.w.time()) }
+func (o *ownRoom) overload(r *request) { o.a.ReportOverload(strconv.Itoa(r.id), o.w.time()) }
 
 func (o *ownRoom) done(r *request, ok bool) {
 	id := strconv.Itoa(r.id)
@@ -80,7 +80,7 @@
 
 func (o *ownRoom) forecast(model string, f placement.Forecast) {
 	o.forecasts[model] = o.w.now
-	o.note(o.a.Forecast(model, f.Possible, o.w.time().Add(f.ReadyIn), o.w.time()))
+	o.note(o.a.SetForecast(model, f.Possible, o.w.time().Add(f.ReadyIn), o.w.time()))
 }
 
 func (o *ownRoom) note(list []calls.Refusal) {
@@ -128,7 +128,7 @@
 func (o *ownQueue) push(r *request) bool {
 	id := strconv.Itoa(r.id)
 	err := o.q.Push(engines.Work{
-		ID: id, Workspace: r.workspace, Model: r.model, Band: calls.ClassOf(o.w.config.Classes[r.class]).Band,
+		ID: id, Workspace: r.workspace, Model: r.model, Band: calls.NewClass(o.w.config.Classes[r.class]).Band,
 		Weight: o.w.config.Workspaces[r.workspace].Rate, Tokens: r.tokens(),
 		Prefix: strconv.FormatUint(r.prefix, 16), Arrived: epoch.Add(r.at), Deadline: epoch.Add(r.deadline),
 	}, o.w.time())
@@ -176,7 +176,7 @@
 	return ran, o.drain()
 }
 
-func (o *ownQueue) load() routing.Report {
+func (o *ownQueue) load() routing.LoadReport {
 	l := o.q.Load()
-	return routing.Report{Running: l.Running, Queued: l.Queued, Limit: l.Limit, Service: l.Service}
+	return routing.LoadReport{Running: l.Running, Queued: l.Queued, Limit: l.Limit, ServiceTime: l.Service}
 }
--- a/ctl/experiment/own_rate.go
+++ b/ctl/experiment/own_rate.go
@@ -18,7 +18,7 @@
 func newOwnLimiter(w *world) limiter {
 	limits := workspace.Limits(w.config)
 	l := &ownLimiter{w: w, owner: workspace.NewOwner(1, limits, nil, w.time()), waiting: map[string]func(bool){}}
-	l.owner.Extend(w.time().Add(24 * time.Hour))
+	l.owner.ExtendLease(w.time().Add(24 * time.Hour))
 	return l
 }
 
@@ -55,7 +55,7 @@
 		reply, err := l.owner.Draw(draw, l.w.time())
 		l.w.after(hop, func() {
 			if err != nil {
-				h.Failed(draw.Sequence, l.w.time())
+				h.DrawFailed(draw.Sequence, l.w.time())
 				return
 			}
 			l.settle(h.Reply(reply, l.w.time()))
--- a/ctl/experiment/plain.go
+++ b/ctl/experiment/plain.go
@@ -180,14 +180,14 @@
 
 func (c *plainChooser) started(*request) {}
 
-func (c *plainChooser) finished(*request, routing.Outcome, time.Duration, *routing.Report) {}
+func (c *plainChooser) finished(*request, routing.Outcome, time.Duration, *routing.LoadReport) {}
 
 func (c *plainChooser) refused(*request, string, bool, []string) {}
 
 // plainPlanner loads on demand at once, anywhere, and unloads after a fixed time.
 type plainPlanner struct {
 	w       *world
-	list    []placement.Target
+	list    []placement.TargetStatus
 	held    map[string]*coordpb.Replica
 	asked   map[string]time.Duration
 	idle    map[string]time.Duration // by model@target, as reported
@@ -203,7 +203,7 @@
 		hosts: map[int]map[string]bool{}, running: map[string]int{}}
 }
 
-func (p *plainPlanner) targets(list []placement.Target) { p.list = list }
+func (p *plainPlanner) targets(list []placement.TargetStatus) { p.list = list }
 
 func (p *plainPlanner) replicas(list []*coordpb.Replica) {
 	clear(p.held)
@@ -370,6 +370,6 @@
 	return ran, waited
 }
 
-func (q *plainQueue) load() routing.Report {
-	return routing.Report{Running: len(q.running), Queued: len(q.list), Limit: q.limit}
+func (q *plainQueue) load() routing.LoadReport {
+	return routing.LoadReport{Running: len(q.running), Queued: len(q.list), Limit: q.limit}
 }
--- a/ctl/experiment/policy.go
+++ b/ctl/experiment/policy.go
@@ -45,13 +45,13 @@
 	serves(model string) bool
 	pick(r *request) (string, bool)
 	started(r *request)
-	finished(r *request, o routing.Outcome, took time.Duration, load *routing.Report)
+	finished(r *request, o routing.Outcome, took time.Duration, load *routing.LoadReport)
 	refused(r *request, target string, leaving bool, resident []string)
 }
 
 // planner decides on replicas.
 type planner interface {
-	targets(list []placement.Target)
+	targets(list []placement.TargetStatus)
 	replicas(list []*coordpb.Replica)
 	report(p placement.Report)
 	demand(entry int, list []placement.Demand)
@@ -68,5 +68,5 @@
 	expire() []*request
 	drain() []*request // the target leaves: what waits goes elsewhere
 	crash() (ran, waited []*request)
-	load() routing.Report
+	load() routing.LoadReport
 }
--- a/server/agent/crash.go
+++ b/server/agent/crash.go
@@ -81,7 +81,7 @@
 		Workspace:     req.Workspace,
 		Fingerprint:   req.Fingerprint,
 		Attempt:       req.Attempt,
-		ExpiresUnixMs: time.Now().Add(request.StrikeLife).UnixMilli(),
+		ExpiresUnixMs: time.Now().Add(request.StrikeTTL).UnixMilli(),
 	}})
 	if err != nil {
 		a.log.Warn("strike not recorded", "request_id", req.ID, "kind", fault.From(rpc.FromTwirp(err)).Kind)
--- a/server/board/board.go
+++ b/server/board/board.go
@@ -37,7 +37,7 @@
 	// Leading returns the term that this process leads in, and whether it does now.
 	Leading func() (term uint64, leading bool)
 	// List reads the platform's list of targets.
-	List func(ctx context.Context) (list []standings.Standing, skipped int, err error)
+	List func(ctx context.Context) (list []standings.Status, skipped int, err error)
 	// Deployment returns the deployment in force, nil before the first.
 	Deployment func() *coordpb.Deployment
 	// StoreWindow is the window in which loads from the weight store are counted.
@@ -53,8 +53,8 @@
 	mu          sync.Mutex
 	term        uint64
 	table       *standings.Table
-	use         *standings.Use
-	gate        *residency.Gate
+	use         *standings.RateMeter
+	gate        *residency.LoadLimiter
 	changed     chan struct{} // closed at the next change of the table
 	demand      *standings.DemandFeed
 	demandKnown bool
@@ -129,8 +129,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.table == nil || b.term != term {
-		b.term, b.table, b.use = term, standings.NewTable(blankVersion), standings.NewUse(now)
-		b.gate = residency.NewGate(b.loadsPerSecond(), b.config.StoreWindow, now)
+		b.term, b.table, b.use = term, standings.NewTable(blankVersion), standings.NewRateMeter(now)
+		b.gate = residency.NewLoadLimiter(b.loadsPerSecond(), b.config.StoreWindow, now)
 		b.watchers, b.demand, b.summedAt = map[string]time.Time{}, standings.NewDemandFeed(), time.Time{}
 		b.demandKnown = false
 		b.config.Log.Info("board opened", "term", term)
@@ -224,7 +224,7 @@
 // filling reports whether targets or models may be there that the board does not have.
 // The caller holds mu.
 func (b *Board) filling(now time.Time) bool {
-	return standings.Filling(b.table, b.use, b.runsModels, now)
+	return standings.Incomplete(b.table, b.use, b.runsModels, now)
 }
 
 func (b *Board) runsModels(service string) bool {
@@ -303,7 +303,7 @@
 		return b.demandKnown
 	}
 	var sum []standings.Demand
-	sum, b.demandKnown = standings.Sum(b.table, b.use, now)
+	sum, b.demandKnown = standings.SumDemand(b.table, b.use, now)
 	if b.demandKnown {
 		b.demand.Publish(sum, now)
 	}
@@ -321,12 +321,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.Done {
-		b.gate.Done(host, r.Model, now)
+		b.gate.Release(host, r.Model, now)
 		return &rpc.PermitResponse{}, nil
 	}
 	b.gate.Configure(b.loadsPerSecond(), b.config.StoreWindow)
-	load := residency.Load{Model: r.Model, Store: r.Store, Grow: r.Grow, Copies: b.copies(r.Model), Near: b.table.Near(r.Model), Usual: b.usual(r.Model)}
-	granted, again := b.gate.Ask(host, load, now)
+	load := residency.LoadRequest{Model: r.Model, FromStore: r.Store, AddsCopy: r.Grow, Copies: b.copies(r.Model), LocalCopies: b.table.IdleWithCopy(r.Model), UncontendedTime: b.usual(r.Model)}
+	granted, again := b.gate.TryAcquire(host, load, now)
 	if granted {
 		b.config.Log.Info("load_permitted", "host", host, "model", r.Model, "store", r.Store, "grow", r.Grow, "copies", load.Copies)
 	}
--- a/server/charging/charging.go
+++ b/server/charging/charging.go
@@ -164,7 +164,7 @@
 	now := r.now()
 	r.deliver(r.holder.Tick(now))
 	message = r.holder.Poll(now)
-	return message, r.holder.Wake(now).Sub(now)
+	return message, r.holder.NextWake(now).Sub(now)
 }
 
 // deliver hands outcomes to the calls that wait; the caller holds mu.
@@ -187,7 +187,7 @@
 	defer r.mu.Unlock()
 	if err != nil {
 		r.log.Debug("rate owner did not answer", "kind", fault.From(rpc.FromTwirp(err)).Kind)
-		r.holder.Failed(message.Sequence, r.now())
+		r.holder.DrawFailed(message.Sequence, r.now())
 	} else {
 		r.deliver(r.holder.Reply(drawReply(response), r.now()))
 	}
@@ -207,7 +207,7 @@
 			RecentUsePerS: item.UsePerSecond,
 		}
 		for _, refund := range item.Refunds {
-			line.Refunds = append(line.Refunds, &rpc.DrawRefund{Tokens: refund.Tokens, Charged: refund.Charged})
+			line.Refunds = append(line.Refunds, &rpc.DrawRefund{Tokens: refund.Tokens, Charged: refund.ChargeSequence})
 		}
 		request.Items = append(request.Items, line)
 	}
@@ -218,16 +218,16 @@
 	reply := &workspace.Reply{Epoch: response.Epoch, Sequence: response.Sequence}
 	for _, grant := range response.Grants {
 		reply.Grants = append(reply.Grants, workspace.Grant{
-			Workspace:  grant.Workspace,
-			Keep:       grant.KeepTokens,
-			Tokens:     grant.Tokens,
-			Valid:      time.Duration(grant.ValidMs) * time.Millisecond,
-			RetryAfter: time.Duration(grant.RetryAfterMs) * time.Millisecond,
-			Unsettled:  grant.Unsettled,
-			LineFull:   grant.LineFull,
-			Backlog:    time.Duration(grant.BacklogMs) * time.Millisecond,
-			Room:       time.Duration(grant.RoomMs) * time.Millisecond,
-			Share:      grant.ShareTokens,
+			Workspace:     grant.Workspace,
+			Keep:          grant.KeepTokens,
+			Tokens:        grant.Tokens,
+			Valid:         time.Duration(grant.ValidMs) * time.Millisecond,
+			RetryAfter:    time.Duration(grant.RetryAfterMs) * time.Millisecond,
+			Recovering:    grant.Unsettled,
+			QueueFull:     grant.LineFull,
+			Backlog:       time.Duration(grant.BacklogMs) * time.Millisecond,
+			QueueRoom:     time.Duration(grant.RoomMs) * time.Millisecond,
+			PrefetchLimit: grant.ShareTokens,
 		})
 	}
 	return reply
--- a/server/control/draw.go
+++ b/server/control/draw.go
@@ -87,7 +87,7 @@
 	if err := o.take(term, limits, hosts, first, revision, now); err != nil {
 		return nil, err
 	}
-	o.buckets.Extend(now.Add(ownerLease))
+	o.buckets.ExtendLease(now.Add(ownerLease))
 	reply, err := o.buckets.Draw(drawOf(req), now)
 	if err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	switch {
 	case o.buckets == nil || o.buckets.Epoch() < term:
 		o.buckets = workspace.NewOwner(term, limits, hosts, now)
-		o.buckets.FirstRuns(first)
+		o.buckets.MarkFirstIncarnations(first)
 		o.configuration = revision
 	case o.buckets.Epoch() > term:
 		return fault.New(fault.NotLeader, "term %d is over", term)
@@ -170,7 +170,7 @@
 		SpentInWindow: item.DrawnInWindow, UsePerSecond: item.RecentUsePerS,
 	}
 	for _, r := range item.Refunds {
-		out.Refunds = append(out.Refunds, workspace.Refund{Tokens: r.Tokens, Charged: r.Charged})
+		out.Refunds = append(out.Refunds, workspace.Refund{Tokens: r.Tokens, ChargeSequence: r.Charged})
 	}
 	return out
 }
@@ -180,8 +180,8 @@
 	for _, g := range reply.Grants {
 		resp.Grants = append(resp.Grants, &rpc.DrawGrant{
 			Workspace: g.Workspace, Tokens: g.Tokens, KeepTokens: g.Keep,
-			ValidMs: uint32(g.Valid.Milliseconds()), RetryAfterMs: roundUp(g.RetryAfter), Unsettled: g.Unsettled,
-			LineFull: g.LineFull, BacklogMs: roundUp(g.Backlog), RoomMs: room(g.Room), ShareTokens: g.Share,
+			ValidMs: uint32(g.Valid.Milliseconds()), RetryAfterMs: roundUp(g.RetryAfter), Unsettled: g.Recovering,
+			LineFull: g.QueueFull, BacklogMs: roundUp(g.Backlog), RoomMs: room(g.QueueRoom), ShareTokens: g.PrefetchLimit,
 		})
 	}
 	return resp
--- a/server/control/planner.go
+++ b/server/control/planner.go
@@ -93,12 +93,12 @@
 
 // feed tells placement how targets and replicas stand. The caller holds mu.
 func (p *planner) feed(read standing, own map[string]report, now time.Time) {
-	var targets []placement.Target
+	var targets []placement.TargetStatus
 	var heard []placement.Report
 	p.forget(read.agents)
 	for _, agent := range read.agents {
 		r, known := newest(agent, own, p.observed)
-		targets = append(targets, placement.Target{
+		targets = append(targets, placement.TargetStatus{
 			Name:    agent.Target,
 			Leaving: agent.Leaving || r.report.GetLeaving(),
 			Live:    p.live(agent, r, known, now),
--- a/server/entry/attempt.go
+++ b/server/entry/attempt.go
@@ -95,7 +95,7 @@
 
 // priorityOf is the band of the call's class: what a person waits for first.
 func priorityOf(c *call) int {
-	return int(request.ClassOf(c.class).Band)
+	return int(request.NewClass(c.class).Band)
 }
 
 func sendError(ctx context.Context, connected bool) error {
--- a/server/entry/call.go
+++ b/server/entry/call.go
@@ -169,7 +169,7 @@
 		c.key = text(h.idempotencyKey)
 	}
 	c.fingerprint = fingerprint(c)
-	c.life = request.NewCall(c.id, c.workspace.Name, request.ClassOf(class), c.deadline)
+	c.life = request.NewCall(c.id, c.workspace.Name, request.NewClass(class), c.deadline)
 	return quarantined(snapshot, c)
 }
 
--- a/server/entry/gate.go
+++ b/server/entry/gate.go
@@ -52,7 +52,7 @@
 		return noServiceTarget()
 	}
 	g.lift(destinationOf(c))
-	err := g.admission.Arrive(pendingOf(c), g.now())
+	err := g.admission.Enqueue(pendingOf(c), g.now())
 	if err != nil {
 		g.mu.Unlock()
 		return err
@@ -66,7 +66,7 @@
 // the place is gone.
 func (g *gate) again(ctx context.Context, c *call) error {
 	g.mu.Lock()
-	if err := g.admission.Again(c.id, g.now()); err != nil {
+	if err := g.admission.Requeue(c.id, g.now()); err != nil {
 		g.pump(destinationOf(c))
 		g.mu.Unlock()
 		return err
@@ -95,7 +95,7 @@
 	}
 	delete(g.forecasts, destination)
 	now := g.now()
-	g.refuse(g.admission.Forecast(destination, true, now, now))
+	g.refuse(g.admission.SetForecast(destination, true, now, now))
 }
 
 func (g *gate) await(ctx context.Context, c *call, turn chan error) error {
@@ -132,7 +132,7 @@
 func (g *gate) overload(c *call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.admission.Overload(c.id, g.now())
+	g.admission.ReportOverload(c.id, g.now())
 }
 
 // pump starts what may start at a destination; the caller holds mu.
@@ -178,7 +178,7 @@
 	for _, key := range snapshot.Keys {
 		if key.Withdrawn && !g.withdrawn[key.KeyId] {
 			g.withdrawn[key.KeyId] = true
-			g.refuse(g.admission.Withdraw(key.KeyId))
+			g.refuse(g.admission.RevokeKey(key.KeyId))
 		}
 	}
 	for _, d := range g.admission.Demands() {
@@ -195,21 +195,21 @@
 		return
 	}
 	now := g.now()
-	g.refuse(g.admission.Forecast(model, possible, now.Add(in), now))
+	g.refuse(g.admission.SetForecast(model, possible, now.Add(in), now))
 	if possible {
 		g.forecasts[model] = true
 		return
 	}
 	// Those that wait are refused; the next one asks control anew, since no
 	// request would else ever tell that the model is wanted.
-	g.refuse(g.admission.Forecast(model, true, now, now))
+	g.refuse(g.admission.SetForecast(model, true, now, now))
 }
 
 // heldBytes returns the bytes of the request bodies held now.
 func (g *gate) heldBytes() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, bytes := g.admission.Held()
+	_, bytes := g.admission.Usage()
 	return bytes
 }
 
@@ -246,7 +246,7 @@
 		Workspace:   c.workspace.Name,
 		KeyID:       c.keyID,
 		Destination: destinationOf(c),
-		Class:       request.ClassOf(c.class),
+		Class:       request.NewClass(c.class),
 		Weight:      c.workspace.Rate,
 		Tokens:      c.tokens,
 		Bytes:       int64(len(c.body)),
--- a/server/entry/routes.go
+++ b/server/entry/routes.go
@@ -86,11 +86,11 @@
 	if load == nil {
 		return
 	}
-	r.router.Reported(target, routing.Report{
-		Running: int(load.Running),
-		Queued:  int(load.Queued),
-		Limit:   int(load.Limit),
-		Service: time.Duration(load.ServiceUs) * time.Microsecond,
+	r.router.Reported(target, routing.LoadReport{
+		Running:     int(load.Running),
+		Queued:      int(load.Queued),
+		Limit:       int(load.Limit),
+		ServiceTime: time.Duration(load.ServiceUs) * time.Microsecond,
 	}, now)
 }
 
@@ -109,9 +109,9 @@
 
 // request describes a call to the router.
 func routeOf(c *call, exclude []string) routing.Request {
-	q := routing.Request{Name: destinationOf(c), Adapter: c.adapter, Exclude: exclude, Careful: !c.class.Repeatable}
+	q := routing.Request{Name: destinationOf(c), Adapter: c.adapter, Exclude: exclude, NoProbe: !c.class.Repeatable}
 	if c.model != "" && len(c.body) >= wire.PrefixBytes {
-		q.Prefix = xxhash.Sum64(c.body[:wire.PrefixBytes])
+		q.PrefixHash = xxhash.Sum64(c.body[:wire.PrefixBytes])
 	}
 	return q
 }
@@ -152,7 +152,7 @@
 	var ready []routing.Replica
 	for _, r := range replicas {
 		if r.State == coordpb.ReplicaState_REPLICA_STATE_READY {
-			ready = append(ready, routing.Replica{Target: r.Target, Order: r.Fencing})
+			ready = append(ready, routing.Replica{Target: r.Target, Version: r.Fencing})
 		}
 	}
 	return ready
--- a/server/entry/run.go
+++ b/server/entry/run.go
@@ -119,7 +119,7 @@
 			err = e.goOn(ctx, c, err)
 		}
 		if err != nil {
-			final, _ := c.life.Answer(decisive(last, err))
+			final, _ := c.life.Resolve(decisive(last, err))
 			return nil, final
 		}
 	}
@@ -249,7 +249,7 @@
 		return nil
 	}
 	strikes := request.Strikes{Count: len(struck.Attempts), Expires: time.UnixMilli(struck.ExpiresUnixMs)}
-	c.alone = c.alone || request.Suspect(strikes, time.Now())
+	c.alone = c.alone || request.MustRunAlone(strikes, time.Now())
 	return request.CheckStrikes(strikes, time.Now())
 }
 
@@ -274,7 +274,7 @@
 	if err != nil {
 		return nil, e.failed(c, state, q, err, e.cfg.Now().Sub(begun))
 	}
-	c.life.Accept(state)
+	c.life.MarkAccepted(state)
 	e.routes.reported(agent.Target, reply.accepted.Load)
 	a := newAnswer(reply)
 	if err := a.collect(); err != nil {
@@ -302,15 +302,15 @@
 	e.routes.finished(state.Target, q, err, took)
 	if err != nil {
 		c.life.Fail(state, err, false)
-		c.life.Answer(err)
+		c.life.Resolve(err)
 		return
 	}
 	e.routes.reported(state.Target, end.GetLoad())
-	c.life.Finish(state)
-	c.life.Answer(nil)
+	c.life.MarkFinished(state)
+	c.life.Resolve(nil)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.retries.Success()
+	e.retries.RecordSuccess()
 }
 
 // withFault is a failure with what is true of its run, and what caused it.
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -156,7 +156,7 @@
 	hosts := g.targets.entryHosts()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.budget(service).Repeat(hosts, now)
+	return g.budget(service).TryRetry(hosts, now)
 }
 
 // firstAttempt notes a request to a service: repeats are a share of these.
@@ -164,7 +164,7 @@
 	now := g.config.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget(service).Request(now)
+	g.budget(service).RecordRequest(now)
 }
 
 // budget returns a service's budget of repeats. The caller holds mu.
--- a/server/gateway/listener.go
+++ b/server/gateway/listener.go
@@ -122,7 +122,7 @@
 	}
 	f := fault.From(err)
 	if c.attempts != nil {
-		if final, ok := c.attempts.Answer(err); ok && final != nil {
+		if final, ok := c.attempts.Resolve(err); ok && final != nil {
 			f = final
 		}
 	}
@@ -198,7 +198,7 @@
 func (g *Gateway) Drain(ctx context.Context) error {
 	start := g.config.Now()
 	end := start.Add(g.config.Grace - stopMargin)
-	waitsFor := request.WaitsBeforeStop(end.Sub(start), g.targets.longestRun())
+	waitsFor := request.ShutdownWait(end.Sub(start), g.targets.longestRun())
 	waits := time.AfterFunc(waitsFor, func() { close(g.left) })
 	defer waits.Stop()
 	g.mu.Lock()
--- a/server/gateway/outage.go
+++ b/server/gateway/outage.go
@@ -60,7 +60,7 @@
 // waitForRecovery waits until an outage may be over. It reports false where the call has waited
 // long enough, its caller has gone, or this host is leaving.
 func (g *Gateway) waitForRecovery(ctx context.Context, c *call, o recoveryWait) bool {
-	left := request.WaitOut(o.outage, g.config.Now().Sub(c.start), o.limit)
+	left := request.OutageWait(o.outage, g.config.Now().Sub(c.start), o.limit)
 	if left == 0 || g.sendsAway() {
 		return false
 	}
--- a/server/gateway/refuse.go
+++ b/server/gateway/refuse.go
@@ -20,7 +20,7 @@
 
 // refuse answers a request that was not served. The status follows from the error's
 // kind alone (coord/fault); one that promises that nothing ran is sent only where
-// that is true: request.Call.Answer sees to it.
+// that is true: request.Call.Resolve sees to it.
 func (g *Gateway) refuse(w http.ResponseWriter, c *call, f *fault.Error) {
 	answer := fault.AnswerFor(f.Kind)
 	h := w.Header()
--- a/server/gateway/run.go
+++ b/server/gateway/run.go
@@ -84,7 +84,7 @@
 }
 
 // fail keeps the error to answer with. What an earlier attempt left open wins: see
-// request.Call.Answer.
+// request.Call.Resolve.
 func (t *tries) fail(err error) {
 	if t.last == nil || !fault.Is(err, fault.NoCapacity) {
 		t.last = err
@@ -109,7 +109,7 @@
 			return place{}, fault.After(fault.Overloaded, fullRetryAfter, "no target of service %q takes requests", c.service.Name)
 		}
 		if ok && p.Agent != "" {
-			err := g.ensure(ctx, c, p.Standing)
+			err := g.ensure(ctx, c, p.Status)
 			if err == nil {
 				return p, nil
 			}
@@ -139,14 +139,14 @@
 	if t.worthWaiting(wait) {
 		return p, nil
 	}
-	return place{}, fault.After(fault.Overloaded, request.ComeBack(wait), "target %s, the best one, has a queue of %v", p.Instance, wait.Round(time.Millisecond))
+	return place{}, fault.After(fault.Overloaded, request.QueueRetryAfter(wait), "target %s, the best one, has a queue of %v", p.Instance, wait.Round(time.Millisecond))
 }
 
 // worthWaiting reports whether the call should join a queue of that length.
 func (t *tries) worthWaiting(wait time.Duration) bool {
 	c := t.call
 	spent := t.gateway.config.Now().Sub(c.start)
-	return request.WorthWaiting(wait, spent, time.Duration(c.route.LatencyMs)*time.Millisecond, c.patience())
+	return request.ShouldQueue(wait, spent, time.Duration(c.route.LatencyMs)*time.Millisecond, c.patience())
 }
 
 // attempt sends the call to a target and passes its answer on.
@@ -167,7 +167,7 @@
 	outcome := t.exchange(ctx, a, p)
 	g.targets.finished(p, outcome.blame, g.config.Now().Sub(now))
 	if outcome.err == nil {
-		c.attempts.Finish(a)
+		c.attempts.MarkFinished(a)
 		if t.writer.stream {
 			g.targets.ran(c.service.Name, g.config.Now().Sub(c.start.Add(c.ended.First)))
 		}
@@ -228,7 +228,7 @@
 	if meta.NotRun {
 		return t.refusedBy(p, answer, meta)
 	}
-	c.attempts.Accept(a)
+	c.attempts.MarkAccepted(a)
 	return t.writer.pass(ctx, answer, meta, watchdog, t.mayRepeatAfterAnswer())
 }
 
--- a/server/gateway/targets.go
+++ b/server/gateway/targets.go
@@ -36,7 +36,7 @@
 
 	mu      sync.Mutex // guards everything below
 	router  *routing.Router
-	known   *standings.Known
+	known   *standings.TableCache
 	epoch   uint64
 	version uint64
 	hosts   int
@@ -52,7 +52,7 @@
 	return &targets{
 		config: c, events: c.Events,
 		router: routing.New(c.Caller.GetFailureDomain(), routing.DefaultSettings(), rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		known:  standings.NewKnown(), use: map[string]float64{}, hosts: 1, began: c.Now(), changed: make(chan struct{}),
+		known:  standings.NewTableCache(), use: map[string]float64{}, hosts: 1, began: c.Now(), changed: make(chan struct{}),
 		backlog: request.NewBacklog(),
 	}
 }
@@ -60,7 +60,7 @@
 // watch follows the board.
 func (t *targets) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := standings.AskEvery(t.entryHosts())
+		wait := standings.PollInterval(t.entryHosts())
 		var renewed <-chan struct{}
 		if err := t.poll(ctx); err != nil {
 			t.noteLost(err)
@@ -131,21 +131,21 @@
 	}
 	age := time.Duration(r.ListAgeMs) * time.Millisecond
 	u := updateOf(r)
-	for _, c := range t.known.Take(u) {
-		s := c.Standing
-		t.events.TargetSeen(s.Instance, s.Service, s.Address, s.Draining, c.Gone, age)
+	for _, c := range t.known.Apply(u) {
+		s := c.Status
+		t.events.TargetSeen(s.Instance, s.Service, s.Address, s.Draining, c.Removed, age)
 	}
 	close(t.changed)
 	t.changed = make(chan struct{})
 	t.epoch, t.version, t.hosts, t.seenAt = r.Epoch, r.Version, max(1, int(r.EntryHosts)), now
-	if t.known.Stale(u) {
+	if t.known.NeedsFullSync(u) {
 		t.version = 0
 	}
 	t.route(now)
 }
 
 func updateOf(r *rpc.WatchResponse) standings.Update {
-	u := standings.Update{Gone: r.Gone, Whole: r.Whole, Filling: r.Filling}
+	u := standings.Update{Removed: r.Gone, Whole: r.Whole, Incomplete: r.Filling}
 	for _, m := range r.Standings {
 		u.Changed = append(u.Changed, board.FromRPC(m))
 	}
@@ -163,7 +163,7 @@
 			FailureDomain: s.FailureDomain, Concurrency: s.Slots, Incarnation: id, Leaving: s.Draining,
 		}
 		service := routing.ServiceName(s.Service)
-		v.Serving[service] = append(v.Serving[service], routing.Replica{Target: id, Order: s.Version})
+		v.Serving[service] = append(v.Serving[service], routing.Replica{Target: id, Version: s.Version})
 		for _, m := range s.Models {
 			t.serve(v, s, m.Name)
 			for _, a := range m.Adapters {
@@ -172,22 +172,22 @@
 		}
 	}
 	t.router.SetView(v, now)
-	t.backlog.Reported()
+	t.backlog.ResetStarts()
 	for id, s := range t.known.All() {
 		if s.Reported {
-			t.router.Reported(id, routing.Report{Running: s.Running, Queued: s.Queued, Limit: s.Slots}, now)
+			t.router.Reported(id, routing.LoadReport{Running: s.Running, Queued: s.Queued, Limit: s.Slots}, now)
 		}
 	}
 }
 
-func (t *targets) serve(v routing.View, s *standings.Standing, name string) {
+func (t *targets) serve(v routing.View, s *standings.Status, name string) {
 	key := s.Service + ":" + name
-	v.Serving[key] = append(v.Serving[key], routing.Replica{Target: s.Instance, Order: s.Version})
+	v.Serving[key] = append(v.Serving[key], routing.Replica{Target: s.Instance, Version: s.Version})
 }
 
 // place is a target to send a call to.
 type place struct {
-	standings.Standing
+	standings.Status
 	query routing.Request
 }
 
@@ -197,7 +197,7 @@
 	now := t.config.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	q := routing.Request{Exclude: exclude, Careful: !c.repeatable(), Prefix: prefixOf(c)}
+	q := routing.Request{Exclude: exclude, NoProbe: !c.repeatable(), PrefixHash: prefixOf(c)}
 	names := []string{routing.ServiceName(c.service.Name)}
 	if c.needsModel() {
 		names = []string{c.service.Name + ":" + c.modelName()}
@@ -209,10 +209,10 @@
 		q.Name = name
 		q.Adapter = ""
 		if c.needsModel() && i == 1 {
-			q.Adapter, q.Prefix = c.Adapter, 0
+			q.Adapter, q.PrefixHash = c.Adapter, 0
 		}
 		if id, found := t.router.Pick(q, now); found && t.known.Get(id) != nil {
-			return place{Standing: *t.known.Get(id), query: q}, i == 0, true
+			return place{Status: *t.known.Get(id), query: q}, i == 0, true
 		}
 	}
 	return place{}, false, false
@@ -222,11 +222,11 @@
 func (t *targets) least(p place) place {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	id, found := t.router.Least(p.query, t.config.Now())
+	id, found := t.router.PickLeastLoaded(p.query, t.config.Now())
 	if !found || t.known.Get(id) == nil {
 		return p
 	}
-	return place{Standing: *t.known.Get(id), query: p.query}
+	return place{Status: *t.known.Get(id), query: p.query}
 }
 
 // prefixOf names the part of the prompt that a session's requests share with each
@@ -242,23 +242,23 @@
 
 // homes returns the targets that may load a model for a service, the one that would hold
 // it first in front.
-func (t *targets) homes(service string, a standings.Asked, exclude []string) []standings.Standing {
+func (t *targets) homes(service string, a standings.LoadTimes, exclude []string) []standings.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []standings.Standing
+	var list []standings.Status
 	for _, s := range t.known.All() {
 		if s.Service == service && !s.Draining && s.Reported && s.Agent != "" && !slices.Contains(exclude, s.Instance) {
 			list = append(list, *s)
 		}
 	}
-	return standings.Homes(list, a)
+	return standings.RankForLoad(list, a)
 }
 
 func (t *targets) started(p place) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.router.Started(p.Instance, p.query, t.config.Now())
-	t.backlog.Started(p.Instance)
+	t.backlog.RecordStart(p.Instance)
 }
 
 func (t *targets) finished(p place, o routing.Outcome, took time.Duration) {
@@ -273,7 +273,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.router.Reported(p.Instance, routing.Report{Running: l.Running, Queued: l.Queued, Limit: l.Slots}, t.config.Now())
+	t.router.Reported(p.Instance, routing.LoadReport{Running: l.Running, Queued: l.Queued, Limit: l.Slots}, t.config.Now())
 }
 
 func (t *targets) entryHosts() int {
@@ -299,7 +299,7 @@
 // queryFor is how the router knows a call that goes to a target which has just
 // loaded its model.
 func (t *targets) queryFor(c *call) routing.Request {
-	return routing.Request{Name: c.service.Name + ":" + c.modelName(), Prefix: prefixOf(c), Careful: !c.repeatable()}
+	return routing.Request{Name: c.service.Name + ":" + c.modelName(), PrefixHash: prefixOf(c), NoProbe: !c.repeatable()}
 }
 
 // stays says whether a target may still be sent requests: one that a call waited for
@@ -324,12 +324,12 @@
 func (t *targets) longestRun() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.backlog.LongestRun()
+	return t.backlog.LongestMeanRun()
 }
 
 // ran notes how long a stream ran at a target of a service, from its first event to its end.
 func (t *targets) ran(service string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.backlog.Ran(service, took)
+	t.backlog.RecordRun(service, took)
 }
--- a/server/steward/loader.go
+++ b/server/steward/loader.go
@@ -25,19 +25,19 @@
 	select {
 	case v := <-verdict:
 		return &rpc.EnsureResponse{
-			Held: v.Held, RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), Reason: v.Reason, Expected: v.Expected,
+			Held: v.Held, RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), Reason: v.Reason, Expected: v.WillLoad,
 		}, nil
 	case <-ctx.Done():
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.keeper.Drop(id)
+		s.keeper.Cancel(id)
 		delete(s.waiting, id)
 		return nil, rpc.ToTwirp(ctx.Err())
 	}
 }
 
 // want enters a request that waits. The channel has room for its verdict.
-func (s *Steward) want(r *rpc.EnsureRequest) (string, <-chan residency.Verdict, error) {
+func (s *Steward) want(r *rpc.EnsureRequest) (string, <-chan residency.WaitResult, error) {
 	now := s.config.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,10 +52,10 @@
 	}
 	s.nextWant++
 	id := strconv.FormatUint(s.nextWant, 10)
-	verdict := make(chan residency.Verdict, 1)
-	w := residency.Want{
-		ID: id, Model: r.Model, Adapter: r.Adapter, Worth: r.Value,
-		Until: now.Add(time.Duration(r.WaitMs) * time.Millisecond), Retries: r.Retries,
+	verdict := make(chan residency.WaitResult, 1)
+	w := residency.Waiter{
+		ID: id, Model: r.Model, Adapter: r.Adapter, Value: r.Value,
+		Deadline: now.Add(time.Duration(r.WaitMs) * time.Millisecond), WillRetry: r.Retries,
 	}
 	if v, over := s.keeper.Add(w, now); over {
 		verdict <- v
@@ -125,10 +125,10 @@
 	now := s.config.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.demand.Take(u, now)
+	s.demand.Apply(u, now)
 	demand := map[string]residency.Demand{}
 	for _, d := range s.demand.Current(now) {
-		demand[d.Model] = residency.Demand{WorthPerSecond: d.WorthPerSecond, Copies: d.Copies, Pressed: d.Pressed}
+		demand[d.Model] = residency.Demand{ValuePerSecond: d.ValuePerSecond, Copies: d.Copies, Saturated: d.Saturated}
 	}
 	s.keeper.SetDemand(demand)
 }
--- a/server/steward/orders.go
+++ b/server/steward/orders.go
@@ -18,20 +18,20 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	said, err := s.config.Target.Send(ctx, platform.Order{
-		Load: o.Load, Model: o.Model, Adapter: o.Adapter, After: o.After,
+		Load: o.Load, Model: o.Model, Adapter: o.Adapter, After: o.ExpectedSequence,
 		Holder: s.config.Caller.GetHost(), Fencing: s.config.Fencing, Instance: o.Instance,
 	})
 	result := resultOf(said, err)
-	s.config.Events.OrderGiven(o.Instance, o.Load, o.Model, o.Adapter, o.After, resultName(result, said, err), waiting)
+	s.config.Events.OrderGiven(o.Instance, o.Load, o.Model, o.Adapter, o.ExpectedSequence, resultName(result, said, err), waiting)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keeper.Answered(o, result, s.config.Now())
+	s.keeper.HandleResult(o, result, s.config.Now())
 	if err == nil && said == platform.OrderElsewhere {
 		// The target has started again under another id since it was asked for it.
 		s.instance = ""
 	}
-	if (o.Store || o.Grow) && o.Load {
-		s.permit.used = result == residency.Accepted || result == residency.Unknown
+	if (o.FromStore || o.AddsCopy) && o.Load {
+		s.permit.used = result == residency.Accepted || result == residency.OutcomeUnknown
 	}
 	return result == residency.Accepted && o.Adapter != ""
 }
@@ -49,22 +49,22 @@
 	if !ok {
 		return o, 0, false
 	}
-	if (o.Store || o.Grow) && !s.permitted(ctx, o) {
+	if (o.FromStore || o.AddsCopy) && !s.permitted(ctx, o) {
 		return o, 0, false
 	}
-	s.keeper.Sent(o)
+	s.keeper.MarkSent(o)
 	return o, s.keeper.Waiting(), true
 }
 
 func resultOf(said platform.OrderResult, err error) residency.Result {
 	if err != nil {
-		return residency.Unknown
+		return residency.OutcomeUnknown
 	}
 	switch said {
 	case platform.OrderAccepted:
 		return residency.Accepted
 	case platform.OrderHolds:
-		return residency.Holds
+		return residency.AlreadyDone
 	case platform.OrderInvalid, platform.OrderFenced:
 		return residency.Rejected
 	}
