--- a/server/steward/permit.go
+++ b/server/steward/permit.go
@@ -38,12 +38,12 @@
 	if b := s.config.Board(); b != nil {
 		ctx, cancel := context.WithTimeout(ctx, tellTimeout)
 		defer cancel()
-		resp, err := b.Permit(ctx, &rpc.PermitRequest{Caller: s.config.Caller, Model: model, Store: o.Store, Grow: o.Grow})
+		resp, err := b.Permit(ctx, &rpc.PermitRequest{Caller: s.config.Caller, Model: model, Store: o.FromStore, Grow: o.AddsCopy})
 		if err != nil {
 			s.config.Log.Debug("no answer on a permit", "model", model, "error", err)
 		}
 		granted = err == nil && resp.Granted
-		if err == nil && !granted && o.Store {
+		if err == nil && !granted && o.FromStore {
 			busy = time.Duration(resp.RetryAfterMs) * time.Millisecond
 		}
 	}
@@ -52,7 +52,7 @@
 	defer s.mu.Unlock()
 	s.permit = permit{asked: now}
 	if busy > 0 {
-		s.deliver(s.keeper.StoreBusy(busy, now))
+		s.deliver(s.keeper.DelayStoreLoads(busy, now))
 	}
 	if granted {
 		s.permit.model, s.permit.until = model, now.Add(permitLife)
@@ -72,7 +72,7 @@
 		return
 	}
 	other := ok && next.Adapter == "" && next.For != p.model
-	if other && (next.Store || next.Grow) {
+	if other && (next.FromStore || next.AddsCopy) {
 		return // it asks for a permit of its own, which takes this one's place
 	}
 	if other || !ok && s.keeper.Idle(now) || now.After(p.until) {
--- a/server/steward/steward.go
+++ b/server/steward/steward.go
@@ -74,10 +74,10 @@
 	seen    chan struct{} // the target has been looked at for the first time since it was lost
 
 	mu         sync.Mutex // guards everything below
-	keeper     *residency.Keeper
+	keeper     *residency.Scheduler
 	demand     *standings.DemandCache
 	version    uint64 // of the deployment that the keeper has
-	waiting    map[string]chan residency.Verdict
+	waiting    map[string]chan residency.WaitResult
 	nextWant   uint64
 	report     *platform.Report // newest; nil while the target does not answer
 	instance   string           // of the target; empty while it is not known
@@ -94,7 +94,7 @@
 // New returns a steward that has not started.
 func New(c Config) *Steward {
 	return &Steward{
-		config: c, keeper: residency.NewKeeper(), demand: standings.NewDemandCache(), waiting: map[string]chan residency.Verdict{},
+		config: c, keeper: residency.NewScheduler(), demand: standings.NewDemandCache(), waiting: map[string]chan residency.WaitResult{},
 		wake: make(chan struct{}, 1), seen: make(chan struct{}, 1),
 	}
 }
@@ -195,15 +195,15 @@
 	}
 }
 
-func engineOf(service *deployment.Service) residency.Engine {
-	e := residency.Engine{
-		WeightsMb: service.GetEngine().GetWeightsMb(), AdapterPlaces: int(service.GetEngine().GetAdapterPlaces()),
+func engineOf(service *deployment.Service) residency.TargetConfig {
+	e := residency.TargetConfig{
+		CapacityMb: service.GetEngine().GetWeightsMb(), AdapterSlots: int(service.GetEngine().GetAdapterPlaces()),
 		Models: map[string]residency.Model{},
 	}
 	for name, m := range service.Models {
 		e.Models[name] = residency.Model{
 			WeightsMb: m.WeightsMb, AdapterMb: m.AdapterMb,
-			FromStore: seconds(m.LoadS), FromDisk: seconds(m.DiskS), FromHost: seconds(m.WarmS),
+			StoreLoadTime: seconds(m.LoadS), DiskLoadTime: seconds(m.DiskS), MemoryLoadTime: seconds(m.WarmS),
 		}
 	}
 	return e
@@ -309,21 +309,21 @@
 
 func (s *Steward) observed(r *platform.Report) residency.Report {
 	out := residency.Report{
-		Instance: s.instance, Start: s.start(), Busy: r.Busy, Sequence: r.Orders, Models: map[string][]string{},
-		Coming: map[string][]string{}, InMemory: r.InMemory, OnDisk: r.OnDisk,
-		Pressed: standings.Pressed(r.Running, r.Queued, s.slots),
+		Instance: s.instance, StartID: s.start(), Busy: r.Busy, Sequence: r.Orders, Models: map[string][]string{},
+		LoadingAdapters: map[string][]string{}, InMemory: r.InMemory, OnDisk: r.OnDisk,
+		Saturated: standings.Saturated(r.Running, r.Queued, s.slots),
 	}
 	for _, m := range r.Models {
 		out.Models[m.Name] = m.Adapters
 	}
 	for _, c := range r.Coming {
-		out.Coming[c.Model] = append(out.Coming[c.Model], c.Adapter)
+		out.LoadingAdapters[c.Model] = append(out.LoadingAdapters[c.Model], c.Adapter)
 	}
 	return out
 }
 
 // deliver hands verdicts to the requests that wait. The caller holds mu.
-func (s *Steward) deliver(list []residency.Verdict) {
+func (s *Steward) deliver(list []residency.WaitResult) {
 	for _, v := range list {
 		if waiting, ok := s.waiting[v.ID]; ok {
 			delete(s.waiting, v.ID)
