--- a/coord/routing/invariant_test.go
+++ b/coord/routing/invariant_test.go
@@ -13,8 +13,8 @@
 	"cowsliptiller/coord/routing"
 )
 
-// TestMain fixes rapid's seed, so that each run gives the same verdict. Give
-// -rapid.seed for another one.
+// TestMain sets a fixed seed for rapid, so that test runs are reproducible. The flag
+// -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -23,17 +23,17 @@
 	m.Run()
 }
 
-// Random choices, replies, failures, refusals and views, against an oracle that
-// keeps what may not be chosen.
+// TestInvariants applies random picks, replies, failures, refusals and views, and checks
+// each pick against a model of the targets that may not be chosen.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "targets")
 		v := fleet(n)
 		r := newRouter(v)
 		now := start
-		leaving := map[string]time.Time{} // until when
-		denied := map[string]time.Time{}
-		flight := map[string]int{}
+		leaving := map[string]time.Time{} // until when, by target
+		denied := map[string]time.Time{}  // refused as fault.NotHere, until when
+		inFlight := map[string]int{}
 		target := rapid.Custom(func(t *rapid.T) string {
 			return fmt.Sprintf("t%04d", rapid.IntRange(0, n-1).Draw(t, "t"))
 		})
@@ -42,7 +42,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"pick": func(t *rapid.T) {
-				q := routing.Request{Name: "m", Prefix: rapid.Uint64Range(0, 3).Draw(t, "prefix"), Careful: rapid.Bool().Draw(t, "careful")}
+				q := routing.Request{Name: "m", PrefixHash: rapid.Uint64Range(0, 3).Draw(t, "prefix"), NoProbe: rapid.Bool().Draw(t, "careful")}
 				for range rapid.IntRange(0, n).Draw(t, "excluded") {
 					q.Exclude = append(q.Exclude, target.Draw(t, "exclude"))
 				}
@@ -51,22 +51,22 @@
 					return
 				}
 				if forbidden(name, q) {
-					t.Fatalf("chose %s, which may not be chosen", name)
+					t.Fatalf("Pick chose %s, which is excluded, leaving or refused the name", name)
 				}
 				r.Started(name, q, now)
-				flight[name]++
+				inFlight[name]++
 			},
 			"end": func(t *rapid.T) {
 				name := target.Draw(t, "target")
-				if flight[name] == 0 {
+				if inFlight[name] == 0 {
 					return
 				}
-				flight[name]--
+				inFlight[name]--
 				outcome := rapid.SampledFrom([]routing.Outcome{routing.Served, routing.Failed, routing.Neutral}).Draw(t, "outcome")
 				r.Finished(name, m, outcome, time.Duration(rapid.IntRange(0, 999).Draw(t, "ms"))*time.Millisecond, now)
 			},
 			"report": func(t *rapid.T) {
-				r.Reported(target.Draw(t, "target"), routing.Report{Running: rapid.IntRange(0, 20).Draw(t, "running"), Limit: rapid.IntRange(0, 8).Draw(t, "limit")}, now)
+				r.Reported(target.Draw(t, "target"), routing.LoadReport{Running: rapid.IntRange(0, 20).Draw(t, "running"), Limit: rapid.IntRange(0, 8).Draw(t, "limit")}, now)
 			},
 			"refuse": func(t *rapid.T) {
 				name := target.Draw(t, "target")
@@ -85,7 +85,7 @@
 			"": func(t *rapid.T) {
 				fresh := routing.Request{Name: "m"}
 				if name, ok := r.Pick(fresh, now); ok && forbidden(name, fresh) {
-					t.Fatalf("chose %s, which may not be chosen", name)
+					t.Fatalf("Pick chose %s, which is leaving or refused the name", name)
 				}
 			},
 		})
