--- a/coord/state/audit.go
+++ b/coord/state/audit.go
@@ -6,16 +6,17 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// outcomeOK is the outcome of a change that was made.
+// outcomeOK is the audit outcome of a successful command.
 const outcomeOK = "ok"
 
-// audit is the trail of changes: who, when, what, from which revision to which,
-// and the outcome, refusals included. It is part of the replicated state, so that
-// it survives restarts and the loss of a host. The newest MaxAudit records are
-// kept. Per-request commands (claims, strikes below the limit) are not in it.
+// audit is the audit trail: actor, time, action, revisions before and after, and
+// the outcome of each command, rejected ones included. It is part of the replicated
+// state, so that it survives restarts and the loss of a host. It keeps the newest
+// MaxAuditRecords records. Per-request commands (claims, strikes below the limit)
+// are not audited.
 type audit struct {
 	records []*coordpb.AuditRecord
-	next    uint64
+	next    uint64 // next sequence number
 }
 
 func newAudit() audit {
@@ -26,14 +27,14 @@
 	r.Sequence = a.next
 	a.next++
 	a.records = append(a.records, r)
-	if len(a.records) > MaxAudit {
-		a.records = append([]*coordpb.AuditRecord(nil), a.records[len(a.records)-MaxAudit:]...)
+	if len(a.records) > MaxAuditRecords {
+		a.records = append([]*coordpb.AuditRecord(nil), a.records[len(a.records)-MaxAuditRecords:]...)
 	}
 }
 
-// trail names the audited changes of a command: action, and one subject for each
-// record. No subjects: the command is not audited.
-func trail(c *coordpb.Command, r *coordpb.Result) (action string, subjects []string) {
+// auditAction returns the audit action of a command and the subject of each record
+// to write. Without subjects the command is not audited.
+func auditAction(c *coordpb.Command, r *coordpb.Result) (action string, subjects []string) {
 	switch m := c.Change.(type) {
 	case *coordpb.Command_Submit:
 		return "submit_questionnaire", []string{m.Submit.SubmissionId}
@@ -89,8 +90,9 @@
 	return []string{StrikesID(m.Workspace, m.Fingerprint)}
 }
 
-// outcome is "ok", what a recorded audit says, or the error kind.
-func outcome(c *coordpb.Command, r *coordpb.Result) string {
+// auditOutcome returns the outcome given in a RecordAudit command, the error kind of
+// a rejected command, or "ok".
+func auditOutcome(c *coordpb.Command, r *coordpb.Result) string {
 	if m := c.GetRecordAudit(); m != nil {
 		return m.Outcome
 	}
@@ -100,8 +102,9 @@
 	return outcomeOK
 }
 
-// subject bounds what a caller can write into the trail.
-func subject(s string) string {
+// truncateName shortens text from callers that is longer than MaxNameBytes bytes,
+// so that they cannot fill the audit trail. It keeps MaxNameBytes characters.
+func truncateName(s string) string {
 	if len(s) > MaxNameBytes {
 		return fmt.Sprintf("%.*s...", MaxNameBytes, s)
 	}
--- a/coord/state/backup.go
+++ b/coord/state/backup.go
@@ -8,29 +8,31 @@
 	"cowsliptiller/coord/fault"
 )
 
-// backupHead begins a backup. It is followed by the SHA-256 of the snapshot and
-// the snapshot: a file that was cut short on its way could otherwise decode as a
-// smaller state, and the rest would be gone without a word.
-const backupHead = "cowsliptiller-backup-1\n"
+// backupHeader starts a backup file. It is followed by the SHA-256 of the snapshot
+// and the snapshot itself. Without the checksum a truncated file could decode as a
+// smaller state, and the loss would go unnoticed.
+const backupHeader = "cowsliptiller-backup-1\n"
 
-// Backup returns a snapshot in the form that FromBackup reads.
+// Backup encodes a snapshot in the backup format that FromBackup reads.
 func Backup(snapshot []byte) []byte {
 	sum := sha256.Sum256(snapshot)
-	out := append([]byte(backupHead), sum[:]...)
+	out := append([]byte(backupHeader), sum[:]...)
 	return append(out, snapshot...)
 }
 
-// BackupGap is added to every counter when a group is started anew from a backup.
-// What was committed after the backup is lost, and its numbers may be in use out
-// there: followers ignore a lower revision, agents obey the highest fencing
-// number. A million is far above what is committed between two backups.
+// BackupGap is added to every counter when a new group is started from a backup.
+// Commands committed after the backup are lost, but followers and agents may still
+// hold their numbers: followers ignore lower revisions, and agents reject lower
+// fencing numbers. A million is far more than is committed between two backups.
 const BackupGap = 1 << 20
 
-// FromBackup turns a backup into the first snapshot of a new group: all counters
-// jump, and holders of any earlier view get a whole one. Equal backups give equal
-// snapshots. Errors: fault.InvalidRequest for a damaged or unknown backup.
+// FromBackup converts a backup into the first snapshot of a new group. All counters
+// are increased by BackupGap, and followers of any earlier view receive a full view.
+// Equal backups give equal snapshots.
+//
+// Errors: fault.InvalidRequest for a corrupt backup or an unknown format.
 func FromBackup(backup []byte) ([]byte, error) {
-	data, err := unpack(backup)
+	data, err := decodeBackup(backup)
 	if err != nil {
 		return nil, err
 	}
@@ -38,24 +40,26 @@
 	if err := s.Restore(data); err != nil {
 		return nil, err
 	}
-	s.jump()
+	s.advanceCounters()
 	return s.Snapshot()
 }
 
-func unpack(backup []byte) ([]byte, error) {
-	rest, ok := bytes.CutPrefix(backup, []byte(backupHead))
+// decodeBackup verifies the header and the checksum and returns the snapshot.
+func decodeBackup(backup []byte) ([]byte, error) {
+	rest, ok := bytes.CutPrefix(backup, []byte(backupHeader))
 	if !ok || len(rest) < sha256.Size {
-		return nil, fault.New(fault.InvalidRequest, "not a backup of the control state")
+		return nil, fault.New(fault.InvalidRequest, "not a backup of the control state: unknown header or file too short")
 	}
 	sum := sha256.Sum256(rest[sha256.Size:])
 	if !bytes.Equal(sum[:], rest[:sha256.Size]) {
-		return nil, fault.New(fault.InvalidRequest, "the backup is damaged: its checksum does not match")
+		return nil, fault.New(fault.InvalidRequest, "backup of the control state is corrupt: its SHA-256 checksum does not match")
 	}
 	return rest[sha256.Size:], nil
 }
 
-// jump moves every counter past what the lost history can have used.
-func (s *State) jump() {
+// advanceCounters raises every counter above the values that the lost commands can
+// have used.
+func (s *State) advanceCounters() {
 	before := s.revision
 	s.revision += BackupGap
 	s.replicas.nextFencing += BackupGap
@@ -66,8 +70,8 @@
 		c.stateRevision = s.revision
 		c.derived.Revision = c.revision
 	}
-	for _, id := range sorted(s.leases.rows) {
-		row := edit(s.leases.rows[id])
+	for _, id := range sortedIDs(s.leases.rows) {
+		row := cloneRow(s.leases.rows[id])
 		row.Epoch += BackupGap
 		s.leases.rows[id] = row
 	}
--- a/coord/state/claims.go
+++ b/coord/state/claims.go
@@ -8,48 +8,51 @@
 	"cowsliptiller/coord/fault"
 )
 
-// claims is the aggregate of claims for non-repeatable calls: the one run of
-// (workspace, idempotency key) is reserved in the log before any target sees the
-// request.
+// claims is the aggregate of claims for non-repeatable calls. A claim reserves the
+// only execution of (workspace, idempotency key) in the log before the request is
+// sent to a target.
 //
-// Without it two entry hosts that get the same call (a caller's repeat behind the
-// balancer, a lost answer) would both hand it over, and an order is placed twice.
-// The log orders the two claims; only the first is granted. An entry host that
-// dies after its claim leaves it open, and a repeat is told "unknown" until the
-// claim expires: the call may have run.
+// Without claims, two entry hosts that receive the same call (a retry through the
+// load balancer, a lost response) would both send it to a target, and it would be
+// executed twice, for example an order placed twice. The log orders the two claims
+// and only the first is granted. The claim of an entry host that crashes stays
+// open, and retries are answered with an unknown outcome until it expires, since
+// the call may have run.
 type claims struct {
-	rows  map[string]*coordpb.Claim
-	held  map[string]int // by workspace
-	bytes int            // recorded answers
+	rows             map[string]*coordpb.Claim
+	countByWorkspace map[string]int
+	bytes            int // total size of the recorded response bodies
 }
 
 func newClaims() claims {
-	return claims{rows: map[string]*coordpb.Claim{}, held: map[string]int{}}
+	return claims{rows: map[string]*coordpb.Claim{}, countByWorkspace: map[string]int{}}
 }
 
-// claimID cannot collide: a workspace's name holds no '/'.
+// claimID returns the table id of a claim. Ids cannot collide, since workspace names
+// contain no '/'.
 func claimID(workspace, key string) string {
 	return workspace + "/" + key
 }
 
-// open reserves the run for an attempt. It returns the standing claim: the
-// attempt may hand over only if the claim is open under its own name.
-func (c *claims) open(m *coordpb.OpenClaim, at step) (*coordpb.Claim, error) {
+// open claims the execution for an attempt and returns the current claim. The
+// attempt may send the request to a target only if that claim is open and names
+// this attempt.
+func (c *claims) open(m *coordpb.OpenClaim, at commandContext) (*coordpb.Claim, error) {
 	if err := checkClaim(m); err != nil {
 		return nil, err
 	}
 	id := claimID(m.Workspace, m.IdempotencyKey)
 	old, ok := c.rows[id]
 	if ok && old.ExpiresUnixMs > at.now {
-		standing, free, err := reclaim(old, m)
-		if !free {
-			return standing, err
+		current, available, err := checkExisting(old, m)
+		if !available {
+			return current, err
 		}
 	}
 	if !ok && len(c.rows) >= MaxClaims {
 		return nil, fault.New(fault.Overloaded, "%d claims are held, no more are allowed", MaxClaims)
 	}
-	if !ok && c.held[m.Workspace] >= MaxClaimsPerWorkspace {
+	if !ok && c.countByWorkspace[m.Workspace] >= MaxClaimsPerWorkspace {
 		return nil, fault.New(fault.Overloaded, "workspace %q holds %d claims, no more are allowed", m.Workspace, MaxClaimsPerWorkspace)
 	}
 	row := &coordpb.Claim{
@@ -73,16 +76,16 @@
 	return checkName("attempt", m.Attempt)
 }
 
-// reclaim says what a claim that stands means to a later one; free reports that
-// the key may be claimed anew.
-func reclaim(old *coordpb.Claim, m *coordpb.OpenClaim) (standing *coordpb.Claim, free bool, err error) {
+// checkExisting evaluates a request against an unexpired claim on the same key.
+// available reports whether the key may be claimed again.
+func checkExisting(old *coordpb.Claim, m *coordpb.OpenClaim) (current *coordpb.Claim, available bool, err error) {
 	released := old.State == coordpb.ClaimState_CLAIM_STATE_NOT_RUN
 	if !released && !bytes.Equal(old.RequestDigest, m.RequestDigest) {
 		return nil, false, fault.New(fault.KeyReused, "the idempotency key came with another request")
 	}
-	// A late copy of the attempt's own claim must not open it again: nobody would
-	// settle it, and the key would be blocked until it expires. That holds also once
-	// another attempt has taken the key and given it back.
+	// A delayed duplicate of a released attempt's claim must not open the claim again:
+	// it would never be settled, and the key would be blocked until it expires. This
+	// also applies after another attempt has claimed and released the key.
 	if slices.Contains(old.Released, m.Attempt) {
 		return old, false, fault.New(fault.Conflict, "attempt %q was settled as not run", m.Attempt)
 	}
@@ -95,12 +98,14 @@
 	return old, false, fault.New(fault.AlreadyClaimed, "the call is claimed and its outcome is not known")
 }
 
-func claimExpiry(asked, now int64) int64 {
-	return min(max(asked, now+ClaimRetention.Milliseconds()), now+MaxClaimRetention.Milliseconds())
+// claimExpiry limits a requested expiry, in Unix milliseconds, to the range from
+// ClaimRetention to MaxClaimRetention after now.
+func claimExpiry(requested, now int64) int64 {
+	return min(max(requested, now+ClaimRetention.Milliseconds()), now+MaxClaimRetention.Milliseconds())
 }
 
-// settle records how the attempt that holds a claim ended.
-func (c *claims) settle(m *coordpb.SettleClaim, at step) (*coordpb.Claim, error) {
+// settle records the outcome of the attempt that holds a claim.
+func (c *claims) settle(m *coordpb.SettleClaim, at commandContext) (*coordpb.Claim, error) {
 	if m.State != coordpb.ClaimState_CLAIM_STATE_DONE && m.State != coordpb.ClaimState_CLAIM_STATE_NOT_RUN {
 		return nil, fault.New(fault.InvalidRequest, "a claim is settled as done or not run")
 	}
@@ -109,9 +114,9 @@
 	if !ok {
 		return nil, fault.New(fault.NotFound, "no such claim")
 	}
-	// A settlement whose answer was lost comes again, and meanwhile another attempt
-	// may have taken the key that the first copy freed. Refused as fenced, the caller
-	// would believe that nothing was recorded; it gets the first outcome.
+	// A settlement whose response was lost is sent again, and meanwhile another attempt
+	// may have claimed the released key. Rejecting the duplicate as fenced would make
+	// the caller believe that nothing was recorded, so it returns success again.
 	if m.State == coordpb.ClaimState_CLAIM_STATE_NOT_RUN && slices.Contains(old.Released, m.Attempt) {
 		return old, nil
 	}
@@ -124,30 +129,33 @@
 	if old.State != coordpb.ClaimState_CLAIM_STATE_OPEN {
 		return old, fault.New(fault.Conflict, "the claim is already settled")
 	}
-	row := edit(old)
+	row := cloneRow(old)
 	row.State = m.State
 	if m.State == coordpb.ClaimState_CLAIM_STATE_DONE {
-		row.Outcome = c.recorded(m.Outcome)
+		row.Outcome = c.boundOutcome(m.Outcome)
 	} else {
 		row.ExpiresUnixMs = at.now + NotRunRetention.Milliseconds()
-		row.Released = released(old.Released, m.Attempt)
+		row.Released = appendReleased(old.Released, m.Attempt)
 	}
 	c.replace(id, row)
 	return row, nil
 }
 
-// released adds an attempt to those that gave a key back, and forgets the oldest.
-func released(before []string, attempt string) []string {
+// appendReleased adds an attempt to those that released a key, and keeps the newest
+// MaxReleasedAttempts.
+func appendReleased(before []string, attempt string) []string {
 	after := append(slices.Clone(before), attempt)
 	return after[max(0, len(after)-MaxReleasedAttempts):]
 }
 
-// recorded bounds an outcome; body_kept says whether its body is whole.
-func (c *claims) recorded(o *coordpb.CallOutcome) *coordpb.CallOutcome {
+// boundOutcome returns the outcome to store. The body is dropped if it exceeds
+// MaxOutcomeBytes or if all bodies together would exceed MaxTotalOutcomeBytes;
+// body_kept records which.
+func (c *claims) boundOutcome(o *coordpb.CallOutcome) *coordpb.CallOutcome {
 	if o == nil {
 		return nil
 	}
-	if len(o.Body) <= MaxOutcomeBytes && c.bytes+len(o.Body) <= MaxOutcomesBytes {
+	if len(o.Body) <= MaxOutcomeBytes && c.bytes+len(o.Body) <= MaxTotalOutcomeBytes {
 		return &coordpb.CallOutcome{Status: o.Status, ContentType: o.ContentType, Body: o.Body, BodyKept: true}
 	}
 	return &coordpb.CallOutcome{Status: o.Status, ContentType: o.ContentType}
@@ -156,7 +164,7 @@
 func (c *claims) replace(id string, row *coordpb.Claim) {
 	c.remove(id)
 	c.bytes += len(row.GetOutcome().GetBody())
-	c.held[row.Workspace]++
+	c.countByWorkspace[row.Workspace]++
 	c.rows[id] = row
 }
 
@@ -166,15 +174,15 @@
 		return
 	}
 	c.bytes -= len(old.GetOutcome().GetBody())
-	c.held[old.Workspace]--
-	if c.held[old.Workspace] == 0 {
-		delete(c.held, old.Workspace)
+	c.countByWorkspace[old.Workspace]--
+	if c.countByWorkspace[old.Workspace] == 0 {
+		delete(c.countByWorkspace, old.Workspace)
 	}
 	delete(c.rows, id)
 }
 
 func (c *claims) expire(now int64) {
-	for id, row := range c.rows { // any order: each row is judged alone
+	for id, row := range c.rows { // order-independent: each row is checked on its own
 		if row.ExpiresUnixMs <= now {
 			c.remove(id)
 		}
--- a/coord/state/doc.go
+++ b/coord/state/doc.go
@@ -1,13 +1,14 @@
-// Package state is the replicated control state. Apply is deterministic: the same
-// commands in the same order give the same state on every member.
+// Package state is the replicated state machine of the control group. Apply is
+// deterministic: the same commands in the same order produce the same state on
+// every member.
 //
-// Each aggregate has its own file and rules: configuration, keys, hosts, replica
-// decisions, claims, strikes, leases, the audit trail and the recorded results.
-// Rows are never changed in place: a change replaces the row, so that a view or a
-// result handed out earlier stays as it was and may be read without a lock.
+// Each aggregate has its own file: configuration, keys, hosts, replica decisions,
+// claims, strikes, leases, the audit trail and recorded results. Rows are
+// immutable: a change replaces the row, so views and results returned earlier
+// stay valid and can be read without a lock.
 //
-// Every table is bounded; the limits stand in limits.go with what happens at them.
+// Every table is bounded. limits.go lists the limits and the behaviour at each.
 //
-// State has no lock of its own. Its driver (server/control) calls Apply, Snapshot
-// and Restore from one goroutine and guards readers with its own lock.
+// State is not safe for concurrent use. Its driver (server/control) calls Apply,
+// Snapshot and Restore from one goroutine and guards readers with its own lock.
 package state
--- a/coord/state/hosts.go
+++ b/coord/state/hosts.go
@@ -8,34 +8,36 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Roles of a host that follows the view.
+// Roles of the hosts that follow the view.
 const (
 	RoleEntry = "entry"
 	RoleAgent = "agent"
 )
 
-// hosts is the aggregate of entry hosts and agents' hosts. An incarnation is one
-// start of a process. A process that was replaced by a newer one on the same host
-// (frozen, cut off, or started twice) could otherwise register again and take the
-// host's place back; its incarnation is remembered and refused.
+// hosts is the aggregate of the hosts that run entry processes and agents. An
+// incarnation identifies one start of a process. A process that was replaced by a
+// newer one on the same host (because it was suspended, partitioned, or started
+// twice) could otherwise register again and displace the newer one. The table
+// therefore keeps past incarnations and rejects them.
 //
-// A host may run both roles, in one process or two: each has its own row.
+// A host may run both roles, in one process or two. Each role has its own row.
 //
-// A host that is forgotten leaves its incarnations behind. Should it come back under
-// a new one, the earlier ones are known: they are refused, and whoever asks whether
-// this is the first run on that host is not told so.
+// The incarnations of a forgotten host are kept. If the host registers again under
+// a new incarnation, the earlier ones are still rejected, and the row lists them as
+// past incarnations, so that it is not mistaken for the first run on that host.
 type hosts struct {
 	rows      map[string]*coordpb.Host
-	forgotten []*coordpb.Host // oldest first, each id once
+	forgotten []*coordpb.Host // last rows of forgotten hosts, oldest first, one per id
 }
 
-// HostID names the row of one role on a host, in tombstones and tables.
+// HostID returns the id of the row of one role of a host, as used in tables and
+// tombstones.
 func HostID(host, role string) string {
 	return host + "/" + role
 }
 
-// ofHost returns the ids of a host's rows, in order.
-func (h *hosts) ofHost(name string) []string {
+// rowIDs returns the ids of the rows of a host, in sorted order.
+func (h *hosts) rowIDs(name string) []string {
 	var ids []string
 	for _, role := range []string{RoleAgent, RoleEntry} {
 		if _, ok := h.rows[HostID(name, role)]; ok {
@@ -49,15 +51,15 @@
 	return hosts{rows: map[string]*coordpb.Host{}}
 }
 
-// register notes a host as its process describes it. restarted reports a new
-// incarnation.
-func (h *hosts) register(m *coordpb.RegisterHost, at step) (row *coordpb.Host, changed, restarted bool, err error) {
+// register stores the registration of a host. restarted reports whether it has a
+// new incarnation.
+func (h *hosts) register(m *coordpb.RegisterHost, at commandContext) (row *coordpb.Host, changed, restarted bool, err error) {
 	if err := checkRegistration(m); err != nil {
 		return nil, false, false, err
 	}
 	id := HostID(m.Host, m.Role)
 	old, known := h.rows[id]
-	past := h.past(id, m.Incarnation)
+	past := h.pastIncarnations(id, m.Incarnation)
 	if !known && len(h.rows) >= MaxHosts {
 		return nil, false, false, fault.New(fault.Overloaded, "%d hosts are known, no more are allowed", MaxHosts)
 	}
@@ -74,7 +76,7 @@
 	}
 	row.PastIncarnations = past
 	row.Leaving = old.GetLeaving()
-	h.remember(id, nil)
+	h.setForgotten(id, nil)
 	h.rows[id] = row
 	return row, true, restarted, nil
 }
@@ -103,9 +105,10 @@
 		h.Role == m.Role && h.Address == m.Address && h.Target == m.Target
 }
 
-// drain marks all roles of a host as leaving or not; it returns one of the rows.
-func (h *hosts) drain(m *coordpb.DrainHost, at step) (row *coordpb.Host, changed bool, err error) {
-	ids := h.ofHost(m.Host)
+// drain sets or clears the leaving mark on all roles of a host and returns one of
+// its rows.
+func (h *hosts) drain(m *coordpb.DrainHost, at commandContext) (row *coordpb.Host, changed bool, err error) {
+	ids := h.rowIDs(m.Host)
 	if len(ids) == 0 {
 		return nil, false, fault.New(fault.NotFound, "no host is named %q", m.Host)
 	}
@@ -114,7 +117,7 @@
 			continue
 		}
 		changed = true
-		row := edit(h.rows[id])
+		row := cloneRow(h.rows[id])
 		row.Leaving = m.Leaving
 		row.Revision = at.revision
 		h.rows[id] = row
@@ -122,23 +125,24 @@
 	return h.rows[ids[0]], changed, nil
 }
 
-// forget removes all roles of a host and returns their rows.
+// forget removes all roles of a host, keeps their incarnations, and returns the
+// removed rows.
 func (h *hosts) forget(m *coordpb.ForgetHost) ([]*coordpb.Host, error) {
-	var gone []*coordpb.Host
-	for _, id := range h.ofHost(m.Host) {
-		gone = append(gone, h.rows[id])
-		h.remember(id, h.rows[id])
+	var removed []*coordpb.Host
+	for _, id := range h.rowIDs(m.Host) {
+		removed = append(removed, h.rows[id])
+		h.setForgotten(id, h.rows[id])
 		delete(h.rows, id)
 	}
-	if len(gone) == 0 {
+	if len(removed) == 0 {
 		return nil, fault.New(fault.NotFound, "no host is named %q", m.Host)
 	}
-	return gone, nil
+	return removed, nil
 }
 
-// leaving reports whether the host beside a target leaves.
-func (h *hosts) leaving(target string) bool {
-	for _, row := range h.rows { // any order: one match decides
+// isTargetLeaving reports whether the host whose agent manages a target is leaving.
+func (h *hosts) isTargetLeaving(target string) bool {
+	for _, row := range h.rows { // order-independent: any match suffices
 		if row.Role == RoleAgent && row.Target == target && row.Leaving {
 			return true
 		}
@@ -146,11 +150,11 @@
 	return false
 }
 
-// serves reports whether some host has the agent of a target. After an agent
-// moved to a host of another name, forgetting the old one must not take away the
-// replicas that the new one answers for.
-func (h *hosts) serves(target string) bool {
-	for _, row := range h.rows { // any order: one match decides
+// hasAgent reports whether any host runs the agent of a target. After an agent moved
+// to a host with another name, forgetting the old host must not remove the replicas
+// that the new one manages.
+func (h *hosts) hasAgent(target string) bool {
+	for _, row := range h.rows { // order-independent: any match suffices
 		if row.Role == RoleAgent && row.Target == target {
 			return true
 		}
@@ -158,10 +162,11 @@
 	return false
 }
 
-// answersFor refuses a confirmation of an agent that was superseded. A frozen
-// agent that wakes up would otherwise tell what its engine held before a newer
-// incarnation, or the same engine's restart, changed it.
-func (h *hosts) answersFor(m *coordpb.ConfirmReplica) error {
+// checkConfirmation rejects a confirmation from a superseded agent. An agent that
+// resumes after a suspension would otherwise report what its engine held before a
+// newer incarnation, or a restart of the engine, changed it. A confirmation that
+// names no host is not checked.
+func (h *hosts) checkConfirmation(m *coordpb.ConfirmReplica) error {
 	if m.Host == "" {
 		return nil
 	}
--- a/coord/state/incarnations.go
+++ b/coord/state/incarnations.go
@@ -6,9 +6,9 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// past returns the incarnations before this one on a host, newest last; the
-// incarnation itself is among them only if a later one superseded it.
-func (h *hosts) past(id, incarnation string) []string {
+// pastIncarnations returns the incarnations of a host row before the given one,
+// newest last. The given incarnation is included only if a later one superseded it.
+func (h *hosts) pastIncarnations(id, incarnation string) []string {
 	old := h.rows[id]
 	if old == nil {
 		old = h.forgottenRow(id)
@@ -32,8 +32,9 @@
 	return nil
 }
 
-// remember replaces what is kept of a forgotten host; nil keeps nothing.
-func (h *hosts) remember(id string, row *coordpb.Host) {
+// setForgotten replaces the row kept for a forgotten host; nil removes it. It keeps
+// the newest MaxForgottenHosts rows.
+func (h *hosts) setForgotten(id string, row *coordpb.Host) {
 	kept := make([]*coordpb.Host, 0, len(h.forgotten)+1)
 	for _, other := range h.forgotten {
 		if HostID(other.Host, other.Role) != id {
@@ -43,5 +44,5 @@
 	if row != nil {
 		kept = append(kept, row)
 	}
-	h.forgotten = kept[max(0, len(kept)-MaxForgotten):]
+	h.forgotten = kept[max(0, len(kept)-MaxForgottenHosts):]
 }
--- a/coord/state/keys.go
+++ b/coord/state/keys.go
@@ -9,13 +9,13 @@
 	"cowsliptiller/coord/fault"
 )
 
-// keys is the aggregate of callers' keys. Only digests are kept, so that neither
-// a snapshot, a backup nor a view tells a key. A key is random and 32 bytes long:
-// a plain digest cannot be searched.
+// keys is the aggregate of callers' API keys. Only digests are stored, so that no
+// snapshot, backup or view contains a key. A key consists of 32 random bytes, so an
+// unsalted digest resists brute force.
 type keys struct {
 	rows      map[string]*coordpb.Key
 	digests   map[string]string // digest -> key id
-	withdrawn []string          // oldest first
+	withdrawn []string          // key ids, oldest first
 }
 
 func newKeys() keys {
@@ -27,7 +27,7 @@
 	k.digests[string(row.Digest)] = row.KeyId
 }
 
-func (k *keys) give(m *coordpb.GiveKey, at step) (*coordpb.Key, error) {
+func (k *keys) give(m *coordpb.GiveKey, at commandContext) (*coordpb.Key, error) {
 	if err := checkName("key id", m.KeyId); err != nil {
 		return nil, err
 	}
@@ -48,9 +48,9 @@
 	return row, nil
 }
 
-// withdraw marks a key as withdrawn for good: there is no command that takes it
-// back. dropped names the oldest withdrawn key where the limit forgets it.
-func (k *keys) withdraw(m *coordpb.WithdrawKey, at step) (row *coordpb.Key, changed bool, dropped string, err error) {
+// withdraw marks a key as withdrawn; no command reverses it. dropped is the id of
+// the oldest withdrawn key if MaxWithdrawnKeys required its removal, or "".
+func (k *keys) withdraw(m *coordpb.WithdrawKey, at commandContext) (row *coordpb.Key, changed bool, dropped string, err error) {
 	row, ok := k.rows[m.KeyId]
 	if !ok {
 		return nil, false, "", fault.New(fault.NotFound, "no key is named %q", m.KeyId)
@@ -58,7 +58,7 @@
 	if row.Withdrawn {
 		return row, false, "", nil
 	}
-	row = edit(row)
+	row = cloneRow(row)
 	row.Withdrawn = true
 	row.Revision = at.revision
 	k.rows[row.KeyId] = row
@@ -72,18 +72,18 @@
 	return row, true, dropped, nil
 }
 
-// withdrawnInOrder returns the ids of the withdrawn keys, oldest first. Two keys
-// cannot have one revision: each withdrawal is a command of its own.
-func withdrawnInOrder(rows []*coordpb.Key) []string {
-	var gone []*coordpb.Key
+// withdrawnIDs returns the ids of the withdrawn keys, oldest first. Their revisions
+// are distinct, since each withdrawal is a separate command.
+func withdrawnIDs(rows []*coordpb.Key) []string {
+	var withdrawn []*coordpb.Key
 	for _, row := range rows {
 		if row.Withdrawn {
-			gone = append(gone, row)
+			withdrawn = append(withdrawn, row)
 		}
 	}
-	slices.SortFunc(gone, func(a, b *coordpb.Key) int { return cmp.Compare(a.Revision, b.Revision) })
-	ids := make([]string, 0, len(gone))
-	for _, row := range gone {
+	slices.SortFunc(withdrawn, func(a, b *coordpb.Key) int { return cmp.Compare(a.Revision, b.Revision) })
+	ids := make([]string, 0, len(withdrawn))
+	for _, row := range withdrawn {
 		ids = append(ids, row.KeyId)
 	}
 	return ids
--- a/coord/state/leases.go
+++ b/coord/state/leases.go
@@ -5,12 +5,13 @@
 	"cowsliptiller/coord/fault"
 )
 
-// leases is the aggregate of named leases. An epoch grows whenever the right
-// passes on, so that what an earlier holder granted or returns late is told apart
-// from the present holder's. A lapsed lease keeps its row for the epoch's sake.
+// leases is the aggregate of named leases. The epoch increases with each new grant
+// that is not a renewal, so that late messages about an earlier grant can be told
+// apart from those about the current one. The row of an expired lease is kept, since
+// it holds the epoch.
 //
-// Expiry is judged by the time of commands, which the leader's clock sets. A
-// holder must stop acting earlier, by its own monotonic clock and with a margin.
+// Expiry is decided by the time of commands, which the leader's clock sets. A holder
+// must stop acting earlier, by its own monotonic clock and with a safety margin.
 type leases struct {
 	rows map[string]*coordpb.Lease
 }
@@ -19,7 +20,9 @@
 	return leases{rows: map[string]*coordpb.Lease{}}
 }
 
-func (l *leases) acquire(m *coordpb.AcquireLease, at step) (*coordpb.Lease, error) {
+// acquire grants a lease to a holder or renews it. It returns the current lease if
+// another holder has it.
+func (l *leases) acquire(m *coordpb.AcquireLease, at commandContext) (*coordpb.Lease, error) {
 	if err := checkName("lease", m.Name); err != nil {
 		return nil, err
 	}
--- a/coord/state/replicas.go
+++ b/coord/state/replicas.go
@@ -6,16 +6,18 @@
 	"cowsliptiller/coord/fault"
 )
 
-// replicas is the aggregate of replica decisions: which target holds which model.
+// replicas is the aggregate of replica decisions: which models are placed on which
+// targets.
 //
-// Each order carries a fencing number from a counter in the log. The counter only
-// grows and is part of the snapshot, so that no leader, restart or restored member
-// gives a number twice; an agent that obeyed number n refuses every lower one.
+// Each load or unload order carries a fencing number (fencing token) from a
+// replicated counter. The counter only increases and is part of the snapshot, so
+// that no number is issued twice, whatever the leader and after any restart or
+// restore. An agent that has executed order n rejects all lower numbers.
 //
-// A replica counts against its target's memory from the decision to load it until
-// its agent confirms that it is gone. Counting less would let a second load start
-// while the first still holds memory: a silent agent, a lost confirmation or a
-// slow unload all look alike from here.
+// A replica counts against the memory of its target from the decision to load it
+// until its agent confirms the unload. Releasing the memory earlier could let a
+// second load start while the first model is still in memory: an unresponsive
+// agent, a lost confirmation and a slow unload cannot be told apart here.
 type replicas struct {
 	rows        map[string]*coordpb.Replica
 	nextFencing uint64
@@ -25,13 +27,14 @@
 	return replicas{rows: map[string]*coordpb.Replica{}, nextFencing: 1}
 }
 
-// ReplicaID names the replica of a model on a target, in tombstones and tables.
+// ReplicaID returns the id of the replica of a model on a target, as used in tables
+// and tombstones.
 func ReplicaID(model, target string) string {
 	return model + "@" + target
 }
 
-// decide applies all decisions or, at the first that cannot stand, none.
-func (r *replicas) decide(m *coordpb.DecideReplicas, c *config.Configuration, h *hosts, at step) (out []*coordpb.Replica, changed bool, err error) {
+// decide applies all decisions, or none if one of them is invalid.
+func (r *replicas) decide(m *coordpb.DecideReplicas, c *config.Configuration, h *hosts, at commandContext) (out []*coordpb.Replica, changed bool, err error) {
 	if c == nil {
 		return nil, false, fault.New(fault.Conflict, "no configuration is in force")
 	}
@@ -42,7 +45,7 @@
 		if _, twice := planned[id]; twice {
 			return nil, false, fault.New(fault.InvalidRequest, "replica %s is decided twice", id)
 		}
-		row, err := r.decided(d, r.rows[id], c, h)
+		row, err := r.decideOne(d, r.rows[id], c, h)
 		if err != nil {
 			return nil, false, err
 		}
@@ -56,7 +59,7 @@
 		next++
 		changed = true
 	}
-	if err := r.fits(planned, c); err != nil {
+	if err := r.checkCapacity(planned, c); err != nil {
 		return nil, false, err
 	}
 	for _, d := range m.Decisions {
@@ -68,11 +71,11 @@
 	return out, changed, nil
 }
 
-// decided returns the row that a decision makes: the standing one where it
-// already says so.
-func (r *replicas) decided(d *coordpb.ReplicaDecision, old *coordpb.Replica, c *config.Configuration, h *hosts) (*coordpb.Replica, error) {
+// decideOne returns the row that results from a decision. This is the existing row,
+// not a copy, if the decision changes nothing.
+func (r *replicas) decideOne(d *coordpb.ReplicaDecision, old *coordpb.Replica, c *config.Configuration, h *hosts) (*coordpb.Replica, error) {
 	if !d.Load {
-		return unloaded(d, old)
+		return decideUnload(d, old)
 	}
 	model, ok := c.Models[d.Model]
 	if !ok {
@@ -85,7 +88,7 @@
 	if old != nil && old.State != coordpb.ReplicaState_REPLICA_STATE_UNLOAD {
 		return old, nil
 	}
-	if h.leaving(d.Target) {
+	if h.isTargetLeaving(d.Target) {
 		return nil, fault.New(fault.Leaving, "the host of target %q leaves", d.Target)
 	}
 	row := &coordpb.Replica{Model: d.Model, Target: d.Target, Bytes: model.Bytes, Version: model.Version,
@@ -96,30 +99,31 @@
 	return row, nil
 }
 
-func unloaded(d *coordpb.ReplicaDecision, old *coordpb.Replica) (*coordpb.Replica, error) {
+// decideUnload is decideOne for an unload.
+func decideUnload(d *coordpb.ReplicaDecision, old *coordpb.Replica) (*coordpb.Replica, error) {
 	if old == nil {
 		return nil, fault.New(fault.NotFound, "target %q holds no replica of %q", d.Target, d.Model)
 	}
 	if old.State == coordpb.ReplicaState_REPLICA_STATE_UNLOAD {
 		return old, nil
 	}
-	row := edit(old)
+	row := cloneRow(old)
 	row.State = coordpb.ReplicaState_REPLICA_STATE_UNLOAD
 	return row, nil
 }
 
-// fits refuses decisions that exceed a target's memory for weights. Only targets
-// that get a new load are checked: a smaller target in a new configuration must
-// not stop unloads there.
-func (r *replicas) fits(planned map[string]*coordpb.Replica, c *config.Configuration) error {
+// checkCapacity rejects decisions that exceed a target's memory for weights. Only
+// targets with a new load are checked: if a new configuration reduces the memory of
+// a target, unloads there must still be possible.
+func (r *replicas) checkCapacity(planned map[string]*coordpb.Replica, c *config.Configuration) error {
 	loads := map[string]bool{}
 	for id, row := range planned {
 		if row != r.rows[id] && row.State == coordpb.ReplicaState_REPLICA_STATE_LOAD {
 			loads[row.Target] = true
 		}
 	}
-	for _, target := range sorted(loads) {
-		used := r.weights(target, planned)
+	for _, target := range sortedIDs(loads) {
+		used := r.weightBytes(target, planned)
 		if limit := c.Targets[target].WeightBytes(); used > limit {
 			return fault.New(fault.NoCapacity, "target %q would hold %d bytes of weights, %d are allowed", target, used, limit)
 		}
@@ -127,8 +131,9 @@
 	return nil
 }
 
-// weights sums the bytes that count on a target with the planned rows in place.
-func (r *replicas) weights(target string, planned map[string]*coordpb.Replica) int64 {
+// weightBytes returns the total bytes of weights on a target, with the planned rows
+// replacing the current ones.
+func (r *replicas) weightBytes(target string, planned map[string]*coordpb.Replica) int64 {
 	sum := int64(0)
 	for id, row := range r.rows {
 		if _, replaced := planned[id]; row.Target == target && !replaced {
@@ -143,9 +148,10 @@
 	return sum
 }
 
-// confirm notes what an agent carried out. A confirmation under another number
-// than the newest is late: the agent has a newer order to answer for.
-func (r *replicas) confirm(m *coordpb.ConfirmReplica, at step) (row *coordpb.Replica, changed, gone bool, err error) {
+// confirm records that an agent executed an order. A confirmation with a fencing
+// number other than the current one is stale and is rejected: a newer order for the
+// replica is pending. removed reports whether the replica was deleted.
+func (r *replicas) confirm(m *coordpb.ConfirmReplica, at commandContext) (row *coordpb.Replica, changed, removed bool, err error) {
 	id := ReplicaID(m.Model, m.Target)
 	row, ok := r.rows[id]
 	if !ok {
@@ -161,38 +167,39 @@
 	if row.State != coordpb.ReplicaState_REPLICA_STATE_LOAD {
 		return row, false, false, nil
 	}
-	row = edit(row)
+	row = cloneRow(row)
 	row.State = coordpb.ReplicaState_REPLICA_STATE_READY
 	row.Revision = at.revision
 	r.rows[id] = row
 	return row, true, false, nil
 }
 
-// restarted takes back what the earlier incarnation of an agent confirmed: its
-// engine may have lost the weights with it. The numbers stay, and the replicas
-// count as before, until the new incarnation confirms or denies them.
-func (r *replicas) restarted(target string, at step) {
-	for _, id := range sorted(r.rows) {
+// resetReady returns the ready replicas of a target to the load state after its agent
+// restarted, since the engine may have lost its weights. The replicas keep their
+// fencing numbers and count against memory as before, until the new incarnation
+// confirms that they are loaded or not.
+func (r *replicas) resetReady(target string, at commandContext) {
+	for _, id := range sortedIDs(r.rows) {
 		row := r.rows[id]
 		if row.Target != target || row.State != coordpb.ReplicaState_REPLICA_STATE_READY {
 			continue
 		}
-		row = edit(row)
+		row = cloneRow(row)
 		row.State = coordpb.ReplicaState_REPLICA_STATE_LOAD
 		row.Revision = at.revision
 		r.rows[id] = row
 	}
 }
 
-// forget removes the replicas of a target whose host an operator declared gone
-// for good, and returns their ids in order.
-func (r *replicas) forget(target string) []string {
-	var gone []string
-	for _, id := range sorted(r.rows) {
+// removeTarget deletes the replicas of a target whose host an operator declared
+// permanently lost, and returns their ids in sorted order.
+func (r *replicas) removeTarget(target string) []string {
+	var removed []string
+	for _, id := range sortedIDs(r.rows) {
 		if r.rows[id].Target == target {
 			delete(r.rows, id)
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	return gone
+	return removed
 }
--- a/coord/state/results.go
+++ b/coord/state/results.go
@@ -9,21 +9,21 @@
 	"cowsliptiller/coord/fault"
 )
 
-// results keeps what commands with an id returned, so that a resend after a lost
-// answer gets the first outcome and changes nothing. Commands without an id are
-// idempotent by their own rules.
+// results stores the results of commands that have an id, so that a command resent
+// after a lost response returns the first result and changes nothing. Commands
+// without an id are idempotent in themselves.
 type results struct {
 	rows  map[string]*coordpb.RecordedResult
-	order []string // oldest first
+	order []string // command ids, oldest first
 }
 
 func newResults() results {
 	return results{rows: map[string]*coordpb.RecordedResult{}}
 }
 
-// find returns the first outcome of a resend, a refusal where the id was used for
-// something else, or nil for a new command. The caller owns the result.
-func (r *results) find(c *coordpb.Command) *coordpb.Result {
+// lookup returns a copy of the first result of a resent command, an error result if
+// the id was used for another command, or nil for a new command.
+func (r *results) lookup(c *coordpb.Command) *coordpb.Result {
 	if c.CommandId == "" {
 		return nil
 	}
@@ -31,31 +31,34 @@
 	if !ok {
 		return nil
 	}
-	if first.Identity != identity(c) {
-		return refusal(fault.New(fault.KeyReused, "command id %q was used for another command", c.CommandId))
+	if first.Identity != commandIdentity(c) {
+		return errorResult(fault.New(fault.KeyReused, "command id %q was used for another command", c.CommandId))
 	}
 	return proto.Clone(first.Result).(*coordpb.Result)
 }
 
-func (r *results) remember(c *coordpb.Command, out *coordpb.Result, now int64) {
+// record stores the result of a command that has an id.
+func (r *results) record(c *coordpb.Command, out *coordpb.Result, now int64) {
 	if c.CommandId == "" {
 		return
 	}
-	r.put(&coordpb.RecordedResult{CommandId: c.CommandId, Result: proto.Clone(out).(*coordpb.Result), UnixMs: now, Identity: identity(c)})
+	r.put(&coordpb.RecordedResult{CommandId: c.CommandId, Result: proto.Clone(out).(*coordpb.Result), UnixMs: now, Identity: commandIdentity(c)})
 }
 
+// put adds a result and drops the oldest beyond MaxRecordedResults.
 func (r *results) put(row *coordpb.RecordedResult) {
 	r.rows[row.CommandId] = row
 	r.order = append(r.order, row.CommandId)
-	for len(r.order) > MaxResults {
+	for len(r.order) > MaxRecordedResults {
 		delete(r.rows, r.order[0])
 		r.order = r.order[1:]
 	}
 }
 
-// identity is what a resend has in common with the first sending. A key's secret
-// is drawn anew for each sending, so that only the workspace identifies GiveKey.
-func identity(c *coordpb.Command) string {
+// commandIdentity returns a string that is equal for a command and its resends. The
+// secret of a key, and with it the digest, is generated anew for each send, so a
+// GiveKey command is identified by its workspace alone.
+func commandIdentity(c *coordpb.Command) string {
 	switch m := c.Change.(type) {
 	case *coordpb.Command_GiveKey:
 		return "give_key " + m.GiveKey.Workspace
--- a/coord/state/row.go
+++ b/coord/state/row.go
@@ -9,26 +9,28 @@
 	"cowsliptiller/coord/fault"
 )
 
-// step is what one command brings to an aggregate.
-type step struct {
-	now      int64 // Unix milliseconds, the command's time, never going back
+// commandContext holds the metadata of a command that aggregates need.
+type commandContext struct {
+	now      int64 // time of the command in Unix milliseconds; never decreases
 	actor    string
-	revision uint64 // that a change of the followed view gets
+	revision uint64 // assigned to the rows that the command changes
 }
 
-// sorted returns the ids of a table in order. Iteration over a table always goes
-// through it: the order of a Go map differs between members and would make their
-// states differ.
-func sorted[R any](rows map[string]R) []string {
+// sortedIDs returns the ids of a table in sorted order. Any iteration whose result
+// depends on the order must use it: the order of a Go map differs between members,
+// and their states would diverge.
+func sortedIDs[R any](rows map[string]R) []string {
 	return slices.Sorted(maps.Keys(rows))
 }
 
-// edit returns a copy of a row to change: rows handed out earlier stay as they were.
-func edit[M proto.Message](row M) M {
+// cloneRow returns a copy of a row that may be modified. Rows returned earlier must
+// not be modified.
+func cloneRow[M proto.Message](row M) M {
 	return proto.Clone(row).(M)
 }
 
-// checkName refuses names from outside that are empty or too long.
+// checkName rejects a name from outside the state that is empty or longer than
+// MaxNameBytes.
 func checkName(what, name string) error {
 	if name == "" || len(name) > MaxNameBytes {
 		return fault.New(fault.InvalidRequest, "%s has %d bytes, 1 to %d are allowed", what, len(name), MaxNameBytes)
--- a/coord/state/snapshot.go
+++ b/coord/state/snapshot.go
@@ -9,12 +9,12 @@
 	"cowsliptiller/coord/fault"
 )
 
-// SnapshotVersion is the version of the encoding that this code writes and reads.
-// It changes when a field's meaning does; fields may be added under one version.
+// SnapshotVersion is the version of the snapshot encoding. It changes when the meaning
+// of a field changes; adding a field does not change it.
 const SnapshotVersion = 1
 
-// Snapshot encodes the whole state. Equal states give equal bytes on members of
-// one build.
+// Snapshot encodes the complete state. Equal states give equal bytes on members that
+// run the same build.
 func (s *State) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(s.export())
 }
@@ -23,11 +23,11 @@
 	c := &s.configuration
 	m := &coordpb.StateSnapshot{
 		Version: SnapshotVersion, Revision: s.revision, NowUnixMs: s.now,
-		ConfigurationRevision: c.revision, Questionnaire: c.text,
-		QuestionnaireStateRevision: c.stateRevision, SubmissionId: c.submission,
+		ConfigurationRevision: c.revision, Questionnaire: c.questionnaire,
+		QuestionnaireStateRevision: c.stateRevision, SubmissionId: c.submissionID,
 		NextFencing: s.replicas.nextFencing, NextAudit: s.audit.next,
-		Keys: list(s.keys.rows), Hosts: list(s.hosts.rows), Replicas: list(s.replicas.rows),
-		Claims: list(s.claims.rows), Strikes: list(s.strikes.rows), Leases: list(s.leases.rows),
+		Keys: sortedRows(s.keys.rows), Hosts: sortedRows(s.hosts.rows), Replicas: sortedRows(s.replicas.rows),
+		Claims: sortedRows(s.claims.rows), Strikes: sortedRows(s.strikes.rows), Leases: sortedRows(s.leases.rows),
 		Audit: s.audit.records, Tombstones: s.tombstones.rows, TombstoneFloor: s.tombstones.floor,
 		Forgotten: s.hosts.forgotten,
 	}
@@ -41,26 +41,29 @@
 	return m
 }
 
-// Restore replaces the state by a snapshot. A snapshot that is damaged or of an
-// unknown version is refused and changes nothing: reading on would drop fields
-// that a newer version relies on, and the member would diverge silently.
+// Restore replaces the state with a snapshot. A snapshot that is corrupt or has an
+// unknown version is rejected and the state stays unchanged: decoding it anyway would
+// drop fields that a newer version relies on, and the member would diverge silently.
+//
+// Errors: fault.InvalidRequest, or the error of config.Parse for the questionnaire.
 func (s *State) Restore(data []byte) error {
 	m := &coordpb.StateSnapshot{}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return fault.New(fault.InvalidRequest, "snapshot of the control state: %v", err)
+		return fault.New(fault.InvalidRequest, "decode snapshot of the control state: %v", err)
 	}
 	if m.Version != SnapshotVersion {
-		return fault.New(fault.InvalidRequest, "snapshot of the control state has version %d, this program reads version %d", m.Version, SnapshotVersion)
+		return fault.New(fault.InvalidRequest, "snapshot of the control state has version %d, this build reads only version %d", m.Version, SnapshotVersion)
 	}
-	fresh, err := imported(m)
+	restored, err := importSnapshot(m)
 	if err != nil {
 		return err
 	}
-	*s = *fresh
+	*s = *restored
 	return nil
 }
 
-func imported(m *coordpb.StateSnapshot) (*State, error) {
+// importSnapshot builds a state from a decoded snapshot.
+func importSnapshot(m *coordpb.StateSnapshot) (*State, error) {
 	s := New()
 	s.revision, s.now = m.Revision, m.NowUnixMs
 	if err := s.configuration.load(m); err != nil {
@@ -93,16 +96,17 @@
 	return s, nil
 }
 
+// load restores the configuration and generates it anew from the questionnaire.
 func (c *configuration) load(m *coordpb.StateSnapshot) error {
 	c.revision, c.stateRevision = m.ConfigurationRevision, m.QuestionnaireStateRevision
-	c.text, c.submission = m.Questionnaire, m.SubmissionId
+	c.questionnaire, c.submissionID = m.Questionnaire, m.SubmissionId
 	for _, row := range m.Submissions {
-		c.remember(row)
+		c.recordSubmission(row)
 	}
 	if c.revision == 0 {
 		return nil
 	}
-	q, err := config.Parse(c.text)
+	q, err := config.Parse(c.questionnaire)
 	if err != nil {
 		return err
 	}
@@ -110,10 +114,11 @@
 	return nil
 }
 
-// load takes keys over. Withdrawal order is that of revisions, which only grow.
+// load restores the keys. The order of withdrawals is that of the row revisions,
+// which only increase.
 func (k *keys) load(rows []*coordpb.Key) {
 	for _, row := range rows {
 		k.put(row)
 	}
-	k.withdrawn = withdrawnInOrder(rows)
+	k.withdrawn = withdrawnIDs(rows)
 }
--- a/coord/state/state.go
+++ b/coord/state/state.go
@@ -9,7 +9,7 @@
 	"cowsliptiller/coord/fault"
 )
 
-// State is the whole replicated state. The zero value is not usable: see New.
+// State is the complete replicated state. The zero value is not usable; use New.
 type State struct {
 	revision      uint64
 	now           int64
@@ -26,7 +26,7 @@
 	tombstones    tombstones
 }
 
-// New returns the state before the first command.
+// New returns an empty state, before the first command.
 func New() *State {
 	return &State{
 		configuration: newConfiguration(),
@@ -41,61 +41,64 @@
 	}
 }
 
-// Revision is the revision of the followed view. It grows by one with each
-// command that changes the view.
+// Revision returns the revision of the view that followers replicate. Each command
+// that changes the view increments it by one.
 func (s *State) Revision() uint64 { return s.revision }
 
-// ConfigurationRevision is the revision of the questionnaire in force, 0 before the first.
+// ConfigurationRevision returns the revision of the current questionnaire, 0 before the first.
 func (s *State) ConfigurationRevision() uint64 { return s.configuration.revision }
 
-// Configuration is derived from the questionnaire in force; nil before the first.
+// Configuration returns the configuration generated from the current questionnaire,
+// nil before the first.
 func (s *State) Configuration() *config.Configuration { return s.configuration.derived }
 
-// Questionnaire is the text in force.
-func (s *State) Questionnaire() []byte { return s.configuration.text }
+// Questionnaire returns the text of the current questionnaire.
+func (s *State) Questionnaire() []byte { return s.configuration.questionnaire }
 
-// ConfigurationAt returns which configuration a holder of a view revision follows.
+// ConfigurationAt returns the configuration revision contained in the view at the
+// given state revision.
 func (s *State) ConfigurationAt(revision uint64) uint64 {
 	if revision >= s.configuration.stateRevision {
 		return s.configuration.revision
 	}
-	best := uint64(0)
+	latest := uint64(0)
 	for _, id := range s.configuration.order {
 		sub := s.configuration.submissions[id]
 		if sub.Kind == "" && sub.StateRevision <= revision {
-			best = max(best, sub.Revision)
+			latest = max(latest, sub.Revision)
 		}
 	}
-	return best
+	return latest
 }
 
-// Deployment is the platform's configuration in force; nil before the first.
+// Deployment returns the current configuration of the platform, nil before the first.
 func (s *State) Deployment() *coordpb.Deployment { return s.deployment.InForce() }
 
-// DeploymentSource is the document that the deployment in force was made from.
+// DeploymentSource returns the document from which the current deployment was generated.
 func (s *State) DeploymentSource() deployment.Source { return s.deployment.Source() }
 
-// Keys returns all keys in order of their id.
-func (s *State) Keys() []*coordpb.Key { return list(s.keys.rows) }
+// Keys returns all keys, ordered by id.
+func (s *State) Keys() []*coordpb.Key { return sortedRows(s.keys.rows) }
 
-// Hosts returns all hosts in order of their name.
-func (s *State) Hosts() []*coordpb.Host { return list(s.hosts.rows) }
+// Hosts returns the rows of all hosts, ordered by name and role.
+func (s *State) Hosts() []*coordpb.Host { return sortedRows(s.hosts.rows) }
 
-// Host returns one role's row of a host, nil if it is not known.
+// Host returns the row of one role of a host, nil if it is not registered.
 func (s *State) Host(name, role string) *coordpb.Host { return s.hosts.rows[HostID(name, role)] }
 
-// Replicas returns all replica decisions in order of model and target.
-func (s *State) Replicas() []*coordpb.Replica { return list(s.replicas.rows) }
+// Replicas returns all replica decisions, ordered by model and target.
+func (s *State) Replicas() []*coordpb.Replica { return sortedRows(s.replicas.rows) }
 
 // Claim returns a claim, nil if there is none.
 func (s *State) Claim(workspace, key string) *coordpb.Claim {
 	return s.claims.rows[claimID(workspace, key)]
 }
 
-// Lease returns a lease, nil if it was never acquired.
+// Lease returns a lease, nil if it was never acquired. The lease may have expired.
 func (s *State) Lease(name string) *coordpb.Lease { return s.leases.rows[name] }
 
-// Audit returns up to limit records with a higher sequence than after, oldest first.
+// Audit returns up to limit audit records with a sequence number above after,
+// oldest first.
 func (s *State) Audit(after uint64, limit int) []*coordpb.AuditRecord {
 	var out []*coordpb.AuditRecord
 	for _, r := range s.audit.records {
@@ -106,21 +109,22 @@
 	return out
 }
 
-func list[R proto.Message](rows map[string]R) []R {
+// sortedRows returns the rows of a table, ordered by id.
+func sortedRows[R proto.Message](rows map[string]R) []R {
 	out := make([]R, 0, len(rows))
-	for _, id := range sorted(rows) {
+	for _, id := range sortedIDs(rows) {
 		out = append(out, rows[id])
 	}
 	return out
 }
 
-// refusal turns an error into a result.
-func refusal(err error) *coordpb.Result {
+// errorResult converts an error into a result.
+func errorResult(err error) *coordpb.Result {
 	f := fault.From(err)
 	return &coordpb.Result{Kind: string(f.Kind), Message: f.Message}
 }
 
-// Err returns the fault that a result tells of, nil for success.
+// Err converts a result into an error of package fault, nil for success.
 func Err(r *coordpb.Result) error {
 	if r.GetKind() == "" {
 		return nil
--- a/coord/state/strikes.go
+++ b/coord/state/strikes.go
@@ -7,13 +7,13 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// strikes is the aggregate of the quarantine: requests that were running when
-// their target crashed, by fingerprint within their workspace.
+// strikes is the aggregate of the quarantine: requests that were running when their
+// target crashed, by fingerprint within their workspace.
 //
-// A request that crashes its target is sent again by its caller, meets another
-// entry host and takes the next target down. The count is kept here because no
-// entry host sees all attempts. One attempt strikes once: several reports of the
-// same crash (the agent's, the entry host's, a resend) must not add up.
+// A caller retries a request that crashed its target; the retry reaches another entry
+// host and crashes the next target. The count is replicated because no single entry
+// host sees all attempts. Each attempt counts once, since the agent, the entry host
+// and a resend can all report the same crash.
 type strikes struct {
 	rows map[string]*coordpb.Strikes
 }
@@ -22,13 +22,14 @@
 	return strikes{rows: map[string]*coordpb.Strikes{}}
 }
 
-// StrikesID names a row of strikes, in tombstones and tables.
+// StrikesID returns the id of a strikes row, as used in tables and tombstones.
 func StrikesID(workspace string, fingerprint []byte) string {
 	return workspace + "/" + hex.EncodeToString(fingerprint)
 }
 
-// record adds an attempt. dropped names the row that the workspace's limit forgets.
-func (s *strikes) record(m *coordpb.RecordStrike, at step) (row *coordpb.Strikes, changed bool, dropped string, err error) {
+// record counts an attempt. dropped is the id of the row that was removed because the
+// workspace exceeded MaxStrikesPerWorkspace, or "".
+func (s *strikes) record(m *coordpb.RecordStrike, at commandContext) (row *coordpb.Strikes, changed bool, dropped string, err error) {
 	if err := checkStrike(m); err != nil {
 		return nil, false, "", err
 	}
@@ -47,7 +48,7 @@
 	row.Attempts = append(row.Attempts, m.Attempt)
 	row.ExpiresUnixMs = strikeExpiry(m.ExpiresUnixMs, at.now)
 	s.rows[id] = row
-	return row, true, s.trim(m.Workspace), nil
+	return row, true, s.enforceLimit(m.Workspace), nil
 }
 
 func checkStrike(m *coordpb.RecordStrike) error {
@@ -60,40 +61,43 @@
 	return checkName("attempt", m.Attempt)
 }
 
-func strikeExpiry(asked, now int64) int64 {
+// strikeExpiry returns the expiry of a row in Unix milliseconds: StrikeRetention from
+// now, or the requested time if that is in the future and earlier.
+func strikeExpiry(requested, now int64) int64 {
 	limit := now + StrikeRetention.Milliseconds()
-	if asked <= now {
+	if requested <= now {
 		return limit
 	}
-	return min(asked, limit)
+	return min(requested, limit)
 }
 
-// trim drops the row nearest to its expiry once a workspace is over its limit.
-func (s *strikes) trim(workspace string) string {
-	var mine []string
-	for _, id := range sorted(s.rows) {
+// enforceLimit removes the row that expires first if a workspace has more than
+// MaxStrikesPerWorkspace rows, and returns its id, or "".
+func (s *strikes) enforceLimit(workspace string) string {
+	var ids []string
+	for _, id := range sortedIDs(s.rows) {
 		if s.rows[id].Workspace == workspace {
-			mine = append(mine, id)
+			ids = append(ids, id)
 		}
 	}
-	if len(mine) <= MaxStrikesPerWorkspace {
+	if len(ids) <= MaxStrikesPerWorkspace {
 		return ""
 	}
-	oldest := slices.MinFunc(mine, func(a, b string) int {
+	first := slices.MinFunc(ids, func(a, b string) int {
 		return int(s.rows[a].ExpiresUnixMs - s.rows[b].ExpiresUnixMs)
 	})
-	delete(s.rows, oldest)
-	return oldest
+	delete(s.rows, first)
+	return first
 }
 
-// expire returns the ids of the rows that are past their time, in order.
+// expire removes the expired rows and returns their ids in sorted order.
 func (s *strikes) expire(now int64) []string {
-	var gone []string
-	for _, id := range sorted(s.rows) {
+	var expired []string
+	for _, id := range sortedIDs(s.rows) {
 		if s.rows[id].ExpiresUnixMs <= now {
 			delete(s.rows, id)
-			gone = append(gone, id)
+			expired = append(expired, id)
 		}
 	}
-	return gone
+	return expired
 }
--- a/coord/state/tables_test.go
+++ b/coord/state/tables_test.go
@@ -97,14 +97,14 @@
 var _ = Describe("the audit trail", func() {
 	It("is bounded and keeps counting", func() {
 		s := configured()
-		for range state.MaxAudit {
+		for range state.MaxAuditRecords {
 			s.Apply(submit("late", 0, []byte("x")))
 			s.Apply(withdrawKey("none"))
 		}
-		records := s.Audit(0, 2*state.MaxAudit)
-		Expect(records).To(HaveLen(state.MaxAudit))
+		records := s.Audit(0, 2*state.MaxAuditRecords)
+		Expect(records).To(HaveLen(state.MaxAuditRecords))
 		last := records[len(records)-1]
-		Expect(last.Sequence).To(Equal(uint64(state.MaxAudit + 2)))
+		Expect(last.Sequence).To(Equal(uint64(state.MaxAuditRecords + 2)))
 		Expect(last.Outcome).To(Equal("not_found"))
 	})
 })
--- a/coord/state/tombstones.go
+++ b/coord/state/tombstones.go
@@ -2,7 +2,7 @@
 
 import "cowsliptiller/coord/coordpb"
 
-// Tables that a tombstone can name.
+// Table names used in tombstones.
 const (
 	TableKey     = "key"
 	TableHost    = "host"
@@ -10,11 +10,12 @@
 	TableStrikes = "strikes"
 )
 
-// tombstones tell a holder of an older view which rows are gone. A holder whose
-// revision is below the floor may have missed a dropped one and gets a whole view.
+// tombstones records deleted rows for followers with an older view. A follower whose
+// revision is below the floor may have missed a dropped tombstone and receives a full
+// view.
 type tombstones struct {
 	rows  []*coordpb.Tombstone // by revision, oldest first
-	floor uint64
+	floor uint64               // tombstones up to this revision may have been dropped
 }
 
 func (t *tombstones) add(table, id string, revision uint64) {
