--- a/coord/state/claims_test.go
+++ b/coord/state/claims_test.go
@@ -31,9 +31,8 @@
 )
 
 var _ = Describe("claims", func() {
-	// A print order's answer is lost and the shop sends it again; the balancer
-	// picks another entry host. If both hosts were granted the claim, the job
-	// would be printed and billed twice.
+	// The response to an order is lost and the caller retries through another entry
+	// host. If both hosts were granted the claim, the order would be executed twice.
 	It("grants one of two attempts, and the same attempt again", func() {
 		s := configured()
 		first := s.Apply(claim(1, "k", "a1", "order"))
@@ -45,7 +44,7 @@
 		Expect(kind(s.Apply(claim(3, "k", "a1", "order")))).To(BeEmpty())
 	})
 
-	It("gives a repeat the recorded outcome, and refuses another request under the key", func() {
+	It("returns the recorded outcome to a retry, and rejects another request under the key", func() {
 		s := configured()
 		s.Apply(claim(1, "k", "a1", "order"))
 		Expect(kind(s.Apply(settleClaim(2, "k", "a1", done, []byte("ok"))))).To(BeEmpty())
@@ -56,7 +55,7 @@
 		Expect(kind(s.Apply(claim(4, "k", "a3", "other order")))).To(Equal(fault.KeyReused))
 	})
 
-	It("frees the key of a call that did not run, but not for a late copy of its claim", func() {
+	It("releases the key of a call that did not run, but not to a delayed duplicate of its claim", func() {
 		s := configured()
 		s.Apply(claim(1, "k", "a1", "order"))
 		s.Apply(settleClaim(2, "k", "a1", notRun, nil))
@@ -64,11 +63,11 @@
 		Expect(kind(s.Apply(claim(4, "k", "a2", "order")))).To(BeEmpty())
 	})
 
-	// An entry host settles its claim as not run, and the answer is lost with the
-	// leader. A repeat of the call takes the freed key on another host. The first host
-	// settles again and was told "fenced", as if its settlement had never counted; a
-	// late copy of its claim could even take the key once more.
-	It("keeps the outcome of an attempt that gave the key back, whoever has it since", func() {
+	// An entry host settles its claim as not run, and the response is lost when the
+	// leader fails. A retry claims the released key on another host. The resent
+	// settlement of the first host was rejected as fenced, as if the first had not been
+	// recorded, and a delayed duplicate of its claim could claim the key again.
+	It("keeps the outcome of an attempt that released the key after another attempt claimed it", func() {
 		s := configured()
 		s.Apply(claim(1, "k", "a1", "order"))
 		s.Apply(settleClaim(2, "k", "a1", notRun, nil))
@@ -82,7 +81,7 @@
 		Expect(kind(s.Apply(claim(8, "k", "a3", "order")))).To(BeEmpty())
 	})
 
-	It("remembers a bounded number of attempts that gave a key back", func() {
+	It("keeps a bounded number of attempts that released a key", func() {
 		s := configured()
 		for i := range state.MaxReleasedAttempts + 5 {
 			attempt := fmt.Sprint("a", i)
@@ -93,8 +92,8 @@
 		Expect(s.Claim("w1", "k").Released).To(ContainElement(fmt.Sprint("a", state.MaxReleasedAttempts+4)))
 	})
 
-	// A frozen entry host wakes up after its claim was settled or given to another
-	// attempt, and settles it: the outcome that callers were told would change.
+	// A suspended entry host resumes after its claim was settled or granted to another
+	// attempt, and settles it. The outcome already returned to callers would change.
 	It("lets only the holder settle, and only once", func() {
 		s := configured()
 		s.Apply(claim(1, "k", "a1", "order"))
@@ -105,7 +104,7 @@
 		Expect(string(s.Claim("w1", "k").Outcome.Body)).To(Equal("ok"))
 	})
 
-	It("keeps a claim for a day whatever was asked, and not longer than a week", func() {
+	It("keeps a claim for at least a day and at most a week, whatever expiry is requested", func() {
 		s := configured()
 		s.Apply(claim(1, "k", "a1", "order"))
 		day := state.ClaimRetention.Milliseconds()
@@ -116,9 +115,9 @@
 		Expect(s.Apply(long).Claim.ExpiresUnixMs).To(Equal(day + 1 + state.MaxClaimRetention.Milliseconds()))
 	})
 
-	// The clock of a new leader is an hour behind. If time went back with it, an
-	// expired claim would hold again and one given later would look older.
-	It("never lets time go back", func() {
+	// The clock of a new leader is an hour behind. If the state's time decreased, an
+	// expired claim would be valid again, and a later claim would expire too early.
+	It("never lets the time decrease", func() {
 		s := configured()
 		later := 2 * state.ClaimRetention.Milliseconds()
 		s.Apply(claim(1, "k", "a1", "order"))
@@ -128,7 +127,7 @@
 		Expect(r.Claim.ExpiresUnixMs).To(Equal(later + state.ClaimRetention.Milliseconds()))
 	})
 
-	It("records a long answer by its status alone", func() {
+	It("records a long response without its body", func() {
 		s := configured()
 		s.Apply(claim(1, "k", "a1", "order"))
 		s.Apply(settleClaim(2, "k", "a1", done, bytes.Repeat([]byte("x"), state.MaxOutcomeBytes+1)))
@@ -137,7 +136,7 @@
 		Expect(o.BodyKept).To(BeFalse())
 	})
 
-	It("refuses a claim beyond the limit instead of forgetting one", func() {
+	It("rejects a claim beyond the limit instead of dropping one", func() {
 		s := configured()
 		for i := range state.MaxClaims {
 			c := claim(1, fmt.Sprint(i), "a1", "order")
@@ -150,9 +149,9 @@
 		Expect(kind(s.Apply(claim(2, "1", "a2", "order")))).To(Equal(fault.AlreadyClaimed))
 	})
 
-	// One buyer's program places orders in a loop. If its claims filled the table,
-	// no other shop could place a single one for a day.
-	It("lets no workspace use up the table", func() {
+	// One workspace makes non-repeatable calls in a loop. If its claims filled the table,
+	// the calls of all other workspaces would be rejected for a day.
+	It("lets no workspace fill the table", func() {
 		s := configured()
 		for i := range state.MaxClaimsPerWorkspace {
 			s.Apply(claim(1, fmt.Sprint(i), "a1", "order"))
--- a/coord/state/configuration_test.go
+++ b/coord/state/configuration_test.go
@@ -9,10 +9,10 @@
 )
 
 var _ = Describe("submissions", func() {
-	// Two operators edit revision 1 at the same time and submit through different
-	// control hosts. If the later one in the log were accepted too, the first
-	// operator's change would vanish although it was acknowledged.
-	It("accepts one of two racing submissions and names it to the other", func() {
+	// Two operators edit revision 1 concurrently and submit through different control
+	// hosts. If the later submission in the log were also accepted, the first change
+	// would be lost although it was acknowledged.
+	It("accepts one of two concurrent submissions and names it in the error of the other", func() {
 		s := configured()
 		Expect(kind(s.Apply(submit("alice", 1, questionnaire("alice"))))).To(BeEmpty())
 		lost := s.Apply(submit("bob", 1, questionnaire("bob")))
@@ -22,9 +22,9 @@
 		Expect(string(s.Questionnaire())).To(ContainSubstring("alice"))
 	})
 
-	// The answer to a submission is lost; the operator sends it again, by now
-	// through another host, after others changed the configuration or a restart.
-	It("gives a resend its first outcome, accepted or refused, also after a restore", func() {
+	// The response to a submission is lost. The operator resends it through another
+	// host, after the configuration changed or the control group restarted.
+	It("returns the first outcome to a resend, accepted or rejected, also after a restore", func() {
 		s := configured()
 		s.Apply(submit("alice", 1, questionnaire("alice")))
 		s.Apply(submit("bob", 1, questionnaire("bob")))
@@ -41,7 +41,7 @@
 		Expect(again.Audit(0, 100)).To(HaveLen(records))
 	})
 
-	It("refuses an id that comes back with another text, and a bad text, and changes nothing", func() {
+	It("rejects a reused id with another text, and an invalid text, and changes nothing", func() {
 		s := configured()
 		Expect(kind(s.Apply(submit("first", 0, questionnaire("other"))))).To(Equal(fault.KeyReused))
 		Expect(kind(s.Apply(submit("bad", 1, []byte("deployment: ["))))).To(Equal(fault.InvalidRequest))
@@ -49,7 +49,7 @@
 		Expect(s.Revision()).To(Equal(uint64(1)))
 	})
 
-	It("leaves an audit record of acceptance and refusal", func() {
+	It("writes an audit record of acceptance and rejection", func() {
 		s := configured()
 		s.Apply(submit("bob", 0, questionnaire("bob")))
 		records := s.Audit(0, 100)
--- a/coord/state/deployment_test.go
+++ b/coord/state/deployment_test.go
@@ -15,9 +15,9 @@
 	}}}
 }
 
-// Two operators race and send again what got no answer. Whatever the order in which
-// their calls are committed, every member holds the highest version, followers get it
-// once, and a restart keeps it.
+// Two operators adopt deployments concurrently and resend calls without a response.
+// In whatever order the calls are committed, every member must hold the highest
+// version, send it to followers once, and keep it over a restart.
 func TestTheHighestDeploymentIsInForce(t *testing.T) {
 	g := NewWithT(t)
 	s := state.New()
@@ -25,7 +25,7 @@
 	at := s.Revision()
 	g.Expect(s.Apply(adopt(2, "two")).DeploymentVersion).To(Equal(uint64(4)))
 	g.Expect(s.Apply(adopt(4, "not four")).DeploymentVersion).To(Equal(uint64(4)))
-	g.Expect(s.Revision()).To(Equal(at), "nothing changed for followers")
+	g.Expect(s.Revision()).To(Equal(at), "the view of followers must not change")
 	g.Expect(s.View(0).Deployment.Version).To(Equal(uint64(4)))
 	g.Expect(s.View(at).Deployment).To(BeNil())
 	data, err := s.Snapshot()
--- a/coord/state/fuzz_input_test.go
+++ b/coord/state/fuzz_input_test.go
@@ -8,8 +8,9 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// FuzzRecords feeds records from a disk or from another process to Restore and
-// Apply: neither panics, and a snapshot that is refused leaves the state as it was.
+// FuzzRecords passes arbitrary bytes, as read from a disk or another process, to
+// Restore, FromBackup and Apply. None may panic, and a rejected snapshot must leave the
+// state unchanged.
 func FuzzRecords(f *testing.F) {
 	s := New()
 	s.Apply(&coordpb.Command{Actor: "a", CommandId: "1", Change: &coordpb.Command_Expire{Expire: &coordpb.Expire{}}})
@@ -29,11 +30,11 @@
 		s := New()
 		before := s.Revision()
 		if err := s.Restore(snapshot); err != nil && s.Revision() != before {
-			t.Fatal("a refused snapshot changed the state")
+			t.Fatal("Restore returned an error but changed the state")
 		}
 		if inner, err := FromBackup(snapshot); err == nil {
 			if err := New().Restore(inner); err != nil {
-				t.Fatalf("a good backup is refused: %v", err)
+				t.Fatalf("FromBackup accepted a backup whose snapshot Restore rejects: %v", err)
 			}
 		}
 		c := &coordpb.Command{}
@@ -41,14 +42,14 @@
 			return
 		}
 		if s.Apply(c) == nil {
-			t.Fatal("a command without a result")
+			t.Fatal("Apply returned no result")
 		}
 		again, err := s.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := New().Restore(again); err != nil {
-			t.Fatalf("the state's own snapshot is refused: %v", err)
+			t.Fatalf("Restore rejects a snapshot made by Snapshot: %v", err)
 		}
 	})
 }
--- a/coord/state/fuzz_test.go
+++ b/coord/state/fuzz_test.go
@@ -7,21 +7,22 @@
 	"pgregory.net/rapid"
 )
 
-// Racing operators, resends, repeated calls, replica orders and hosts, in any
-// order, with the state replaced by its own snapshot at any point.
+// TestStateAgainstOracle applies random sequences of submissions, claims, replica
+// decisions, keys, hosts, strikes and resends, and replaces the state by its own
+// snapshot at random points.
 func TestStateAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle()
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": o.submit, "claim": o.claim, "settle": o.settle, "decide": o.decide,
 			"confirm": o.confirm, "key": o.key, "host": o.host, "strike": o.strike,
-			"pass": o.pass, "restore": o.restore, "follow": o.follow, "": o.check,
+			"pass": o.advanceTime, "restore": o.restore, "follow": o.checkFollower, "": o.checkInvariants,
 		})
 	})
 }
 
-// init fixes the seed, so that a run gives the same verdict each time; another is
-// tried with -rapid.seed.
+// init fixes the seed, so that each run has the same result. Set another seed with
+// -rapid.seed.
 func init() {
 	if err := flag.Set("rapid.seed", "4"); err != nil {
 		panic(err)
--- a/coord/state/leases.go
+++ b/coord/state/leases.go
@@ -5,10 +5,10 @@
 	"cowsliptiller/coord/fault"
 )
 
-// leases is the aggregate of named leases. The epoch increases with each new grant
-// that is not a renewal, so that late messages about an earlier grant can be told
-// apart from those about the current one. The row of an expired lease is kept, since
-// it holds the epoch.
+// leases is the aggregate of named leases. The epoch increases with each grant that
+// is not a renewal. It distinguishes what an earlier holder granted, or returns late,
+// from the grants of the current holder. The row of an expired lease is kept, since it
+// holds the epoch.
 //
 // Expiry is decided by the time of commands, which the leader's clock sets. A holder
 // must stop acting earlier, by its own monotonic clock and with a safety margin.
--- a/coord/state/oracle_test.go
+++ b/coord/state/oracle_test.go
@@ -12,69 +12,69 @@
 	"cowsliptiller/coord/state"
 )
 
-// oracle holds what users were told, in plain maps, and fails when the state
-// contradicts it.
+// oracle is a simple model of the results returned to callers. It fails the test when
+// the state contradicts them.
 type oracle struct {
-	live *state.State // restored from its own snapshot now and then
-	twin *state.State // gets the same commands and is never restored
-	now  int64
+	restored  *state.State // restored from its own snapshot at random points
+	reference *state.State // receives the same commands and is never restored
+	now       int64
 
-	configuration uint64
-	outcomes      map[string]string         // submission id + text -> first outcome
-	claimed       map[string]*oracleClaim   // idempotency key -> claim
-	fencing       map[uint64]string         // number -> replica
-	bytes         map[string]map[string]int // target -> model -> GiB, until confirmed gone
-	keys          map[string]bool           // key id -> withdrawn
-	follower      map[string]proto.Message  // rows of a follower that took every delta
-	followed      uint64
+	configuration    uint64
+	outcomes         map[string]string         // submission id + text -> first outcome
+	claims           map[string]*oracleClaim   // idempotency key -> claim
+	fencing          map[uint64]string         // fencing number -> replica and whether it is an unload
+	bytes            map[string]map[string]int // target -> model -> GiB, until the unload is confirmed
+	keys             map[string]bool           // key id -> withdrawn
+	follower         map[string]proto.Message  // rows of a follower that applied every delta
+	followerRevision uint64
 }
 
 type oracleClaim struct {
 	attempt, request string
 	state            coordpb.ClaimState
 	expires          int64
-	over             map[string]bool // attempts settled as not run
+	released         map[string]bool // attempts settled as not run
 }
 
 func newOracle() *oracle {
 	return &oracle{
-		live: state.New(), twin: state.New(), now: 1,
-		outcomes: map[string]string{}, claimed: map[string]*oracleClaim{}, fencing: map[uint64]string{},
+		restored: state.New(), reference: state.New(), now: 1,
+		outcomes: map[string]string{}, claims: map[string]*oracleClaim{}, fencing: map[uint64]string{},
 		bytes: map[string]map[string]int{"t1": {}, "t2": {}}, keys: map[string]bool{}, follower: map[string]proto.Message{},
 	}
 }
 
-// apply gives a command to both states, which must answer alike.
+// apply applies a command to both states, which must return equal results.
 func (o *oracle) apply(t *rapid.T, c *coordpb.Command) *coordpb.Result {
 	c.NowUnixMs = o.now
-	r := o.live.Apply(c)
-	if other := o.twin.Apply(c); !proto.Equal(r, other) {
-		t.Fatalf("the restored state answers %v, the other %v", r, other)
+	r := o.restored.Apply(c)
+	if other := o.reference.Apply(c); !proto.Equal(r, other) {
+		t.Fatalf("result of the restored state is %v, of the reference %v", r, other)
 	}
 	return r
 }
 
-// submit checks that one submission for each revision is accepted and that a
-// resend gets its first outcome.
+// submit checks that one submission per revision is accepted and that a resend
+// returns the first outcome.
 func (o *oracle) submit(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", "g"}).Draw(t, "id")
 	replaces := rapid.Uint64Range(0, o.configuration+1).Draw(t, "replaces")
 	r := o.apply(t, submit(id, replaces, questionnaire(id)))
-	got := fmt.Sprint(r.Kind, r.Submission.GetRevision())
-	asked := fmt.Sprint(id, replaces)
-	if first, resent := o.outcomes[asked]; resent {
-		if got != first {
-			t.Fatalf("resend of %s: %s, first %s", asked, got, first)
+	outcome := fmt.Sprint(r.Kind, r.Submission.GetRevision())
+	submission := fmt.Sprint(id, replaces)
+	if first, resent := o.outcomes[submission]; resent {
+		if outcome != first {
+			t.Fatalf("resend of %s returned %q, the first send %q", submission, outcome, first)
 		}
 		return
 	}
 	if r.Kind == string(fault.KeyReused) {
 		return
 	}
-	o.outcomes[asked] = got
+	o.outcomes[submission] = outcome
 	if r.Kind == "" {
 		if replaces != o.configuration || r.Submission.Revision != o.configuration+1 {
-			t.Fatalf("accepted as %d in place of %d while %d was in force", r.Submission.Revision, replaces, o.configuration)
+			t.Fatalf("accepted as revision %d replacing %d while revision %d was current", r.Submission.Revision, replaces, o.configuration)
 		}
 		o.configuration++
 	}
@@ -84,29 +84,29 @@
 	key, attempt := drawCall(t)
 	request := rapid.SampledFrom([]string{"order", "other"}).Draw(t, "request")
 	r := o.apply(t, claim(0, key, attempt, request))
-	old := o.claimed[key]
+	old := o.claims[key]
 	if old != nil && old.expires <= o.now {
 		old = nil
 	}
 	granted := r.Kind == "" && r.Claim.State == open
 	if old != nil && old.state == open && granted && attempt != old.attempt {
-		t.Fatalf("key %s granted to %s while %s may run it", key, attempt, old.attempt)
+		t.Fatalf("key %s granted to attempt %s while attempt %s holds it", key, attempt, old.attempt)
 	}
 	if old != nil && old.state == done && granted {
-		t.Fatalf("key %s granted again after its call ran", key)
+		t.Fatalf("key %s granted again after the call ran", key)
 	}
 	if old != nil && old.state != notRun && request != old.request && r.Kind != string(fault.KeyReused) {
-		t.Fatalf("key %s: another request got %q", key, r.Kind)
+		t.Fatalf("key %s: a different request returned kind %q", key, r.Kind)
 	}
-	if old != nil && granted && old.over[attempt] {
-		t.Fatalf("key %s granted to %s, which was settled as not run", key, attempt)
+	if old != nil && granted && old.released[attempt] {
+		t.Fatalf("key %s granted to attempt %s, which was settled as not run", key, attempt)
 	}
 	if granted && (old == nil || old.state == notRun) {
-		opened := &oracleClaim{attempt: attempt, request: request, state: open, expires: r.Claim.ExpiresUnixMs, over: map[string]bool{}}
+		opened := &oracleClaim{attempt: attempt, request: request, state: open, expires: r.Claim.ExpiresUnixMs, released: map[string]bool{}}
 		if old != nil {
-			opened.over = old.over
+			opened.released = old.released
 		}
-		o.claimed[key] = opened
+		o.claims[key] = opened
 	}
 }
 
@@ -119,19 +119,19 @@
 	key, attempt := drawCall(t)
 	how := rapid.SampledFrom([]coordpb.ClaimState{done, notRun}).Draw(t, "how")
 	r := o.apply(t, settleClaim(0, key, attempt, how, []byte("answer")))
-	old := o.claimed[key]
+	old := o.claims[key]
 	if r.Kind != "" {
 		return
 	}
-	if old != nil && how == notRun && old.over[attempt] {
-		return // a copy of its settlement
+	if old != nil && how == notRun && old.released[attempt] {
+		return // a duplicate of an earlier settlement
 	}
 	if old == nil || old.attempt != attempt || (old.state != open && old.state != how) {
-		t.Fatalf("key %s settled by %s against %+v", key, attempt, old)
+		t.Fatalf("key %s settled by attempt %s, but the claim is %+v", key, attempt, old)
 	}
 	if how == notRun && old.state != how {
 		old.expires = o.now + state.NotRunRetention.Milliseconds()
-		old.over[attempt] = true
+		old.released[attempt] = true
 	}
 	old.state = how
 }
@@ -146,18 +146,18 @@
 	}
 	row := r.Replicas[0]
 	id := fmt.Sprint(model, target, row.State == coordpb.ReplicaState_REPLICA_STATE_UNLOAD)
-	if owner, used := o.fencing[row.Fencing]; used && owner != id {
-		t.Fatalf("number %d was %s and is %s", row.Fencing, owner, id)
+	if first, used := o.fencing[row.Fencing]; used && first != id {
+		t.Fatalf("fencing number %d was issued for %s and again for %s", row.Fencing, first, id)
 	}
 	o.fencing[row.Fencing] = id
 	o.bytes[target][model] = 4
 	if sum := 4 * len(o.bytes[target]); sum > 10 {
-		t.Fatalf("target %s counts %d GiB of 10", target, sum)
+		t.Fatalf("target %s holds %d GiB of weights, 10 are allowed", target, sum)
 	}
 }
 
 func (o *oracle) confirm(t *rapid.T) {
-	rows := o.live.Replicas()
+	rows := o.restored.Replicas()
 	if len(rows) == 0 {
 		return
 	}
@@ -190,7 +190,7 @@
 	if rapid.IntRange(0, 9).Draw(t, "forget") == 0 {
 		o.apply(t, &coordpb.Command{Change: &coordpb.Command_ForgetHost{ForgetHost: &coordpb.ForgetHost{Host: "h1"}}})
 		o.bytes["t1"] = map[string]int{}
-		for _, r := range o.live.Replicas() {
+		for _, r := range o.restored.Replicas() {
 			if r.Target == "t1" {
 				o.bytes["t1"][r.Model] = 4
 			}
@@ -205,15 +205,16 @@
 	o.apply(t, strike(0, "f", attempt))
 }
 
-// pass lets time go on, mostly a little, now and then past every expiry.
-func (o *oracle) pass(t *rapid.T) {
+// advanceTime advances the time by 1 ms, 1 s or the retention of claims, and expires
+// rows.
+func (o *oracle) advanceTime(t *rapid.T) {
 	o.now += rapid.SampledFrom([]int64{1, 1000, state.ClaimRetention.Milliseconds()}).Draw(t, "ms")
 	o.apply(t, expire(0))
 }
 
-// restore replaces the live state by its own snapshot.
+// restore replaces the restored state by one decoded from its own snapshot.
 func (o *oracle) restore(t *rapid.T) {
-	data, err := o.live.Snapshot()
+	data, err := o.restored.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,27 +222,27 @@
 	if err := fresh.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	o.live = fresh
+	o.restored = fresh
 }
 
-// follow takes the delta since the follower's revision; its rows must then be
-// those of a whole view.
-func (o *oracle) follow(t *rapid.T) {
-	v := o.live.View(o.followed)
+// checkFollower applies the delta since the follower's revision. The follower's rows
+// must then equal those of a full view.
+func (o *oracle) checkFollower(t *rapid.T) {
+	v := o.restored.View(o.followerRevision)
 	if v.Since == 0 {
 		o.follower = map[string]proto.Message{}
 	}
-	for _, gone := range v.Tombstones {
-		delete(o.follower, gone.Table+" "+gone.Id)
+	for _, tombstone := range v.Tombstones {
+		delete(o.follower, tombstone.Table+" "+tombstone.Id)
 	}
 	addRows(o.follower, v)
-	o.followed = v.Revision
-	whole := map[string]proto.Message{}
-	addRows(whole, o.live.View(0))
-	if len(whole) != len(o.follower) {
-		t.Fatalf("the follower has %d rows, the state %d", len(o.follower), len(whole))
+	o.followerRevision = v.Revision
+	full := map[string]proto.Message{}
+	addRows(full, o.restored.View(0))
+	if len(full) != len(o.follower) {
+		t.Fatalf("the follower has %d rows, the state %d", len(o.follower), len(full))
 	}
-	for id, row := range whole {
+	for id, row := range full {
 		if !proto.Equal(row, o.follower[id]) {
 			t.Fatalf("the follower has %v, the state %v", o.follower[id], row)
 		}
@@ -263,19 +264,19 @@
 	}
 }
 
-// check runs after each step.
-func (o *oracle) check(t *rapid.T) {
-	a, _ := o.live.Snapshot()
-	b, _ := o.twin.Snapshot()
+// checkInvariants runs after each action.
+func (o *oracle) checkInvariants(t *rapid.T) {
+	a, _ := o.restored.Snapshot()
+	b, _ := o.reference.Snapshot()
 	if !bytes.Equal(a, b) {
-		t.Fatalf("the restored state and the other differ")
+		t.Fatalf("snapshots of the restored state and the reference differ")
 	}
-	if got := o.live.ConfigurationRevision(); got != o.configuration {
-		t.Fatalf("configuration revision %d, accepted %d", got, o.configuration)
+	if got := o.restored.ConfigurationRevision(); got != o.configuration {
+		t.Fatalf("configuration revision is %d, last accepted %d", got, o.configuration)
 	}
-	for _, k := range o.live.Keys() {
+	for _, k := range o.restored.Keys() {
 		if o.keys[k.KeyId] && !k.Withdrawn {
-			t.Fatalf("withdrawn key %s is valid", k.KeyId)
+			t.Fatalf("key %s is valid after its withdrawal", k.KeyId)
 		}
 	}
 }
--- a/coord/state/replicas_test.go
+++ b/coord/state/replicas_test.go
@@ -9,8 +9,8 @@
 	"cowsliptiller/coord/state"
 )
 
-// fencingOf returns the newest number of a replica.
-func fencingOf(s *state.State, model, target string) uint64 {
+// fencingNumber returns the current fencing number of a replica, 0 if there is none.
+func fencingNumber(s *state.State, model, target string) uint64 {
 	for _, r := range s.Replicas() {
 		if r.Model == model && r.Target == target {
 			return r.Fencing
@@ -20,21 +20,21 @@
 }
 
 var _ = Describe("replica decisions", func() {
-	// A target holds 10 GiB of weights. Its agent is silent, so that an unload of
-	// 4 GiB is decided and not confirmed. If the bytes were free at the decision,
-	// a third model would be loaded beside the two that are still there.
-	It("counts a replica until its agent confirms it gone", func() {
+	// A target holds 10 GiB of weights. Its agent is unresponsive, so an unload of 4 GiB
+	// is decided but not confirmed. If the decision released the memory, a third model
+	// would be loaded while the first two are still in memory.
+	It("counts a replica until its agent confirms the unload", func() {
 		s := configured()
 		s.Apply(decide("m1", "t1", true))
 		s.Apply(decide("m2", "t1", true))
 		Expect(kind(s.Apply(decide("m3", "t1", true)))).To(Equal(fault.NoCapacity))
 		s.Apply(decide("m1", "t1", false))
 		Expect(kind(s.Apply(decide("m3", "t1", true)))).To(Equal(fault.NoCapacity))
-		s.Apply(confirm("m1", "t1", fencingOf(s, "m1", "t1"), false))
+		s.Apply(confirm("m1", "t1", fencingNumber(s, "m1", "t1"), false))
 		Expect(kind(s.Apply(decide("m3", "t1", true)))).To(BeEmpty())
 	})
 
-	It("decides all or nothing", func() {
+	It("applies all decisions or none", func() {
 		s := configured()
 		c := decide("m1", "t1", true)
 		m := c.GetDecideReplicas()
@@ -43,15 +43,15 @@
 		Expect(s.Replicas()).To(BeEmpty())
 	})
 
-	// The agent answers an order under number 1 after it was overtaken by number 2:
-	// taken for the newer one, a model that is being loaded again would be free to
-	// be loaded elsewhere, or one that is going would be routed to.
-	It("ignores a confirmation under an old number, and never gives a number twice", func() {
+	// The agent confirms order 1 after order 2 superseded it. Taken as a confirmation of
+	// order 2, it would release the memory of a model that is being loaded again, or
+	// route requests to one that is being unloaded.
+	It("rejects a confirmation with an old fencing number, and never issues a number twice", func() {
 		s := configured()
 		s.Apply(decide("m1", "t1", true))
-		first := fencingOf(s, "m1", "t1")
+		first := fencingNumber(s, "m1", "t1")
 		s.Apply(decide("m1", "t1", false))
-		second := fencingOf(s, "m1", "t1")
+		second := fencingNumber(s, "m1", "t1")
 		Expect(second).To(BeNumerically(">", first))
 		Expect(kind(s.Apply(confirm("m1", "t1", first, true)))).To(Equal(fault.Fenced))
 		s.Apply(confirm("m1", "t1", second, false))
@@ -59,29 +59,29 @@
 		again := state.New()
 		Expect(again.Restore(data)).To(Succeed())
 		again.Apply(decide("m1", "t1", true))
-		Expect(fencingOf(again, "m1", "t1")).To(BeNumerically(">", second))
+		Expect(fencingNumber(again, "m1", "t1")).To(BeNumerically(">", second))
 	})
 
-	// An agent and its engine restart; the engine is empty. Entry hosts would send
-	// requests to a replica that was confirmed by the earlier process.
-	It("asks a new incarnation of an agent to confirm again, under the same number", func() {
+	// An agent and its engine restart, and the engine has lost its weights. Entry hosts
+	// would still send requests to a replica that the previous process confirmed.
+	It("requires a new incarnation of an agent to confirm again, with the same fencing number", func() {
 		s := configured()
 		s.Apply(register("h1", "i1", "t1"))
 		s.Apply(decide("m1", "t1", true))
-		n := fencingOf(s, "m1", "t1")
+		n := fencingNumber(s, "m1", "t1")
 		s.Apply(confirm("m1", "t1", n, true))
 		Expect(s.Replicas()[0].State).To(Equal(coordpb.ReplicaState_REPLICA_STATE_READY))
 		s.Apply(register("h1", "i2", "t1"))
 		Expect(s.Replicas()[0].State).To(Equal(coordpb.ReplicaState_REPLICA_STATE_LOAD))
-		Expect(fencingOf(s, "m1", "t1")).To(Equal(n))
+		Expect(fencingNumber(s, "m1", "t1")).To(Equal(n))
 	})
 
-	It("hears no superseded incarnation, and registers none", func() {
+	It("rejects confirmations and registrations of a superseded incarnation", func() {
 		s := configured()
 		s.Apply(register("h1", "i1", "t1"))
 		s.Apply(register("h1", "i2", "t1"))
 		s.Apply(decide("m1", "t1", true))
-		late := confirm("m1", "t1", fencingOf(s, "m1", "t1"), false)
+		late := confirm("m1", "t1", fencingNumber(s, "m1", "t1"), false)
 		late.GetConfirmReplica().Host, late.GetConfirmReplica().Incarnation = "h1", "i1"
 		Expect(kind(s.Apply(late))).To(Equal(fault.Fenced))
 		Expect(s.Replicas()).To(HaveLen(1))
@@ -89,9 +89,9 @@
 		Expect(s.Host("h1", state.RoleAgent).Incarnation).To(Equal("i2"))
 	})
 
-	// An operator forgets an entry host and then starts it again. Taken for the first
-	// run on that host, nobody would ask what the run before it had drawn.
-	It("remembers the incarnations of a forgotten host, and lets the last one come back", func() {
+	// An operator forgets an entry host and starts it again. If that were taken for the
+	// first run on the host, the tokens drawn by the previous run would not be accounted.
+	It("keeps the incarnations of a forgotten host, and lets the last one register again", func() {
 		s := configured()
 		forget := &coordpb.Command{Change: &coordpb.Command_ForgetHost{ForgetHost: &coordpb.ForgetHost{Host: "e1"}}}
 		s.Apply(register("e1", "i1", ""))
@@ -105,7 +105,7 @@
 		Expect(s.Host("e1", state.RoleEntry).PastIncarnations).To(Equal([]string{"i1", "i2"}))
 	})
 
-	It("places nothing on a leaving host, and forgets replicas with their host", func() {
+	It("places nothing on a leaving host, and deletes replicas with their host", func() {
 		s := configured()
 		s.Apply(register("h1", "i1", "t1"))
 		s.Apply(decide("m1", "t1", true))
--- a/coord/state/suite_test.go
+++ b/coord/state/suite_test.go
@@ -18,8 +18,8 @@
 	RunSpecs(t, "state")
 }
 
-// questionnaire has two engines that hold 10 GiB of weights each and four models
-// of 4 GiB; comment makes texts differ.
+// questionnaire returns a questionnaire with two engines, each with 10 GiB for weights,
+// and four models of 4 GiB. Texts with different comments differ.
 func questionnaire(comment string) []byte {
 	return []byte(fmt.Sprintf(`# %s
 deployment: test
@@ -75,10 +75,10 @@
 		Model: model, Target: target, Fencing: fencing, Loaded: loaded}}}
 }
 
-// kind is the error kind of a result, "" for success.
+// kind returns the error kind of a result, "" for success.
 func kind(r *coordpb.Result) fault.Kind { return fault.Kind(r.Kind) }
 
-// configured returns a state with the questionnaire in force.
+// configured returns a state with an accepted questionnaire, at configuration revision 1.
 func configured() *state.State {
 	s := state.New()
 	Expect(kind(s.Apply(submit("first", 0, questionnaire("first"))))).To(BeEmpty())
--- a/coord/state/tables_test.go
+++ b/coord/state/tables_test.go
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("keys", func() {
-	It("needs a workspace that is configured, and gives a resend the first key", func() {
+	It("requires a configured workspace, and returns the first key to a resend", func() {
 		s := configured()
 		Expect(kind(s.Apply(giveKey("c0", "k0", "nobody")))).To(Equal(fault.NotFound))
 		Expect(s.Apply(giveKey("c1", "k1", "w1")).Key.KeyId).To(Equal("k1"))
@@ -37,7 +37,7 @@
 		Expect(s.Keys()).To(HaveLen(1))
 	})
 
-	It("withdraws for good and forgets only the oldest withdrawn ones", func() {
+	It("withdraws permanently and drops only the oldest withdrawn keys", func() {
 		s := configured()
 		for i := range state.MaxWithdrawnKeys + 1 {
 			id := fmt.Sprint(i)
@@ -53,10 +53,10 @@
 })
 
 var _ = Describe("strikes", func() {
-	// One crash is reported by the agent, by the entry host and in a resend. If
-	// each counted, a request would be refused after its first crash, which may
-	// have been the target's own.
-	It("counts one attempt once, refuses from the second, and expires", func() {
+	// The agent, the entry host and a resend report the same crash. If each report
+	// counted, a request would be rejected after its first crash, which may have been
+	// the fault of the target.
+	It("counts each attempt once, up to the limit, and expires", func() {
 		s := configured()
 		Expect(s.Apply(strike(1, "f", "a1")).Strikes).To(Equal(uint32(1)))
 		Expect(s.Apply(strike(2, "f", "a1")).Strikes).To(Equal(uint32(1)))
@@ -69,7 +69,7 @@
 		Expect(s.Apply(strike(3+state.StrikeRetention.Milliseconds(), "f", "a4")).Strikes).To(Equal(uint32(1)))
 	})
 
-	It("lets no workspace push out the strikes of another", func() {
+	It("lets no workspace evict the strikes of another", func() {
 		s := configured()
 		other := strike(1, "theirs", "a")
 		other.GetRecordStrike().Workspace = "w2"
@@ -84,7 +84,7 @@
 })
 
 var _ = Describe("leases", func() {
-	It("passes on only after expiry, with a higher epoch", func() {
+	It("grants a lease to another holder only after expiry, with a higher epoch", func() {
 		s := state.New()
 		Expect(s.Apply(acquire(1, "a", 10)).Lease.Epoch).To(Equal(uint64(1)))
 		Expect(kind(s.Apply(acquire(9, "b", 20)))).To(Equal(fault.Conflict))
@@ -95,7 +95,7 @@
 })
 
 var _ = Describe("the audit trail", func() {
-	It("is bounded and keeps counting", func() {
+	It("is bounded and continues its sequence numbers", func() {
 		s := configured()
 		for range state.MaxAuditRecords {
 			s.Apply(submit("late", 0, []byte("x")))
@@ -110,7 +110,7 @@
 })
 
 var _ = Describe("snapshots", func() {
-	It("refuses an unknown version and damaged bytes, and changes nothing", func() {
+	It("rejects an unknown version and corrupt bytes, and changes nothing", func() {
 		s := configured()
 		newer, err := proto.Marshal(&coordpb.StateSnapshot{Version: state.SnapshotVersion + 1})
 		Expect(err).NotTo(HaveOccurred())
@@ -119,10 +119,10 @@
 		Expect(s.ConfigurationRevision()).To(Equal(uint64(1)))
 	})
 
-	// All control disks are lost and a group starts from yesterday's backup. Agents
-	// hold orders, and followers views, from after the backup: equal numbers would
-	// be taken for the same orders, and lower revisions ignored for ever.
-	It("starts from a backup past every number that may be in use", func() {
+	// All control disks are lost and a new group starts from an older backup. Agents and
+	// followers hold orders and views from after the backup. They would mistake equal
+	// fencing numbers for the same orders, and would ignore lower revisions.
+	It("starts from a backup with counters above every number that may be in use", func() {
 		s := configured()
 		s.Apply(decide("m1", "t1", true))
 		data, _ := s.Snapshot()
@@ -137,7 +137,7 @@
 		Expect(fresh.ConfigurationRevision()).To(BeNumerically(">", s.ConfigurationRevision()))
 		Expect(fresh.View(s.Revision()).Since).To(BeZero())
 		fresh.Apply(decide("m2", "t2", true))
-		Expect(fencingOf(fresh, "m2", "t2")).To(BeNumerically(">", fencingOf(s, "m2", "t2")))
+		Expect(fencingNumber(fresh, "m2", "t2")).To(BeNumerically(">", fencingNumber(s, "m2", "t2")))
 		backup[len(backup)-1] ^= 1
 		_, err = state.FromBackup(backup)
 		Expect(err).To(MatchError(ContainSubstring("checksum")))
@@ -145,7 +145,7 @@
 })
 
 var _ = Describe("views", func() {
-	It("tells a holder too far behind everything anew", func() {
+	It("returns a full view to a follower older than the tombstones", func() {
 		s := configured()
 		s.Apply(giveKey("", "k", "w1"))
 		behind := s.Revision()
@@ -166,10 +166,10 @@
 })
 
 var _ = Describe("rows", func() {
-	// A view is being written to a follower's connection while a command changes
-	// one of its rows: changed in place, the answer would be neither the old nor
-	// the new row.
-	It("leaves what was handed out as it was", func() {
+	// A view is being sent to a follower while a command changes one of its rows. If the
+	// row were modified in place, the follower would receive neither the old nor the new
+	// row.
+	It("does not modify rows returned earlier", func() {
 		s := configured()
 		s.Apply(giveKey("", "k", "w1"))
 		s.Apply(register("h1", "i1", "t1"))
@@ -178,7 +178,7 @@
 		given := s.View(0)
 		before := proto.Clone(given)
 		s.Apply(withdrawKey("k"))
-		s.Apply(confirm("m1", "t1", fencingOf(s, "m1", "t1"), true))
+		s.Apply(confirm("m1", "t1", fencingNumber(s, "m1", "t1"), true))
 		s.Apply(&coordpb.Command{Change: &coordpb.Command_DrainHost{DrainHost: &coordpb.DrainHost{Host: "h1", Leaving: true}}})
 		s.Apply(decide("m1", "t1", false))
 		s.Apply(strike(2, "f", "a2"))
