--- a/coord/config/bench_test.go
+++ b/coord/config/bench_test.go
@@ -8,7 +8,8 @@
 	"cowsliptiller/coord/config"
 )
 
-// questionnaire has n adapters on n/100 models, as the fleet to come has.
+// questionnaire returns a questionnaire with n adapters on n/100 models, the ratio
+// expected of future fleets.
 func questionnaire(n int) []byte {
 	var b bytes.Buffer
 	b.WriteString("deployment: big\nfailure_domains: [a]\n" +
--- a/coord/config/check.go
+++ b/coord/config/check.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// Bounds on answers. They keep a slip of the pen, such as a missing digit or a
-// wrong unit, from becoming a configuration.
+// Limits on values of a questionnaire. They reject typing errors, such as an extra
+// digit or a wrong unit, before these get into a configuration.
 const (
-	maxNames    = 100_000
-	maxRate     = 1_000_000_000
-	maxDeadline = Span(24 * time.Hour)
+	maxNames    = 100_000       // entries in one list
+	maxRate     = 1_000_000_000 // tokens per second for a rate, tokens for a burst
+	maxDeadline = Duration(24 * time.Hour)
 )
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// checker collects complaints, each with its line.
+// checker collects the problems found in a questionnaire, each with its line number.
 type checker struct {
-	lines      lines
-	complaints []string
+	lines    lines
+	problems []string
 }
 
-func (c *checker) complain(path, format string, args ...any) {
+func (c *checker) report(path, format string, args ...any) {
 	const shown = 20
-	if len(c.complaints) == shown {
-		c.complaints = append(c.complaints, "and more")
+	if len(c.problems) == shown {
+		c.problems = append(c.problems, "further problems omitted")
 	}
-	if len(c.complaints) > shown {
+	if len(c.problems) > shown {
 		return
 	}
-	c.complaints = append(c.complaints, fmt.Sprintf("line %d: %s: ", c.lines.at(path), path)+fmt.Sprintf(format, args...))
+	c.problems = append(c.problems, fmt.Sprintf("line %d: %s: ", c.lines.at(path), path)+fmt.Sprintf(format, args...))
 }
 
-// names checks that the names of one list are well formed and distinct, and returns them.
+// names checks that the names in one list are well formed and unique, and returns
+// the index of each.
 func (c *checker) names(list string, count int, name func(int) string) map[string]int {
 	if count > maxNames {
-		c.complain(list, "%d entries, at most %d are allowed", count, maxNames)
+		c.report(list, "has %d entries, at most %d are allowed", count, maxNames)
 	}
 	seen := make(map[string]int, count)
 	for i := range count {
 		path := fmt.Sprintf("%s.%d.name", list, i)
 		n := name(i)
-		if !nameForm.MatchString(n) {
-			c.complain(path, "%q: names have 1 to 63 lower-case letters, digits, '.', '_' or '-'", n)
+		if !namePattern.MatchString(n) {
+			c.report(path, "%q: must be 1 to 63 lower-case letters, digits, '.', '_' or '-', and begin with a letter or digit", n)
 		}
 		if first, dup := seen[n]; dup {
-			c.complain(path, "%q is already the name of entry %d", n, first)
+			c.report(path, "%q is already the name of entry %d", n, first)
 			continue
 		}
 		seen[n] = i
@@ -55,11 +56,11 @@
 	return seen
 }
 
-// check returns every complaint about q.
+// check returns the problems found in q, with line numbers from ls.
 func check(q *Questionnaire, ls lines) []string {
 	c := &checker{lines: ls}
-	if !nameForm.MatchString(q.Deployment) {
-		c.complain("deployment", "%q is not a name", q.Deployment)
+	if !namePattern.MatchString(q.Deployment) {
+		c.report("deployment", "%q: must be 1 to 63 lower-case letters, digits, '.', '_' or '-', and begin with a letter or digit", q.Deployment)
 	}
 	models := c.names("models", len(q.Models), func(i int) string { return q.Models[i].Name })
 	adapters := c.names("adapters", len(q.Adapters), func(i int) string { return q.Adapters[i].Name })
@@ -75,28 +76,28 @@
 	c.targets(q, services)
 	c.classes(q)
 	c.workspaces(q, models, adapters, services)
-	return c.complaints
+	return c.problems
 }
 
 func (c *checker) domains(q *Questionnaire) {
 	if len(q.FailureDomains) == 0 {
-		c.complain("failure_domains", "at least one is needed")
+		c.report("failure_domains", "at least one is required")
 	}
 	c.names("failure_domains", len(q.FailureDomains), func(i int) string { return q.FailureDomains[i] })
 }
 
 func (c *checker) store(s Store) {
 	if s.LoadsPerSecond <= 0 {
-		c.complain("store.loads_per_second", "must be above 0")
+		c.report("store.loads_per_second", "must be above 0")
 	}
 	if s.FullSpeedLoads < 1 {
-		c.complain("store.full_speed_loads", "must be at least 1")
+		c.report("store.full_speed_loads", "must be at least 1")
 	}
 	if s.AdapterLoads < 1 {
-		c.complain("store.adapter_loads", "must be at least 1")
+		c.report("store.adapter_loads", "must be at least 1")
 	}
 	if s.AdapterLoadLimit <= 0 {
-		c.complain("store.adapter_load_limit", "must be above 0")
+		c.report("store.adapter_load_limit", "must be above 0")
 	}
 }
 
@@ -110,20 +111,20 @@
 	for i, m := range q.Models {
 		path := fmt.Sprintf("models.%d", i)
 		if m.Size <= 0 {
-			c.complain(path+".size", "must be above 0")
+			c.report(path+".size", "must be above 0")
 		}
 		if m.Size > largest {
-			c.complain(path+".size", "%q needs %d bytes, the largest target holds %d", m.Name, m.Size, largest)
+			c.report(path+".size", "%q needs %d bytes, the largest target holds %d bytes of weights", m.Name, m.Size, largest)
 		}
 		if m.LoadTime <= 0 {
-			c.complain(path+".load_time", "must be above 0")
+			c.report(path+".load_time", "must be above 0")
 		}
 		if m.Version == "" {
-			c.complain(path+".version", "must be given")
+			c.report(path+".version", "must not be empty")
 		}
 		for j, t := range m.Cached {
 			if _, ok := targets[t]; !ok {
-				c.complain(fmt.Sprintf("%s.cached.%d", path, j), "no target is named %q", t)
+				c.report(fmt.Sprintf("%s.cached.%d", path, j), "no target is named %q", t)
 			}
 		}
 	}
@@ -133,18 +134,18 @@
 	for i, a := range q.Adapters {
 		path := fmt.Sprintf("adapters.%d", i)
 		if _, clash := models[a.Name]; clash {
-			c.complain(path+".name", "%q is already the name of a model", a.Name)
+			c.report(path+".name", "%q is already the name of a model", a.Name)
 		}
 		base, ok := models[a.Model]
 		if !ok {
-			c.complain(path+".model", "no model is named %q", a.Model)
+			c.report(path+".model", "no model is named %q", a.Model)
 			continue
 		}
 		if a.Size <= 0 {
-			c.complain(path+".size", "must be above 0")
+			c.report(path+".size", "must be above 0")
 		}
 		if a.Size > q.Models[base].Size {
-			c.complain(path+".size", "%q is larger than its model", a.Name)
+			c.report(path+".size", "%q must not be larger than its model", a.Name)
 		}
 	}
 }
@@ -153,22 +154,22 @@
 	for i, s := range q.Services {
 		seen := map[string]bool{}
 		if len(s.Calls) == 0 {
-			c.complain(fmt.Sprintf("services.%d.calls", i), "at least one call is needed")
+			c.report(fmt.Sprintf("services.%d.calls", i), "at least one call is required")
 		}
 		for j, call := range s.Calls {
 			path := fmt.Sprintf("services.%d.calls.%d", i, j)
 			if call.Path == "" || call.Path[0] == '/' {
-				c.complain(path+".path", "%q: a path without a leading slash is needed", call.Path)
+				c.report(path+".path", "%q: must not be empty or begin with a slash", call.Path)
 			}
 			if seen[call.Path] {
-				c.complain(path+".path", "%q stands twice", call.Path)
+				c.report(path+".path", "%q is listed twice", call.Path)
 			}
 			seen[call.Path] = true
 			if _, ok := classes[call.Class]; !ok {
-				c.complain(path+".class", "no class is named %q", call.Class)
+				c.report(path+".class", "no class is named %q", call.Class)
 			}
 			if call.Tokens < 1 {
-				c.complain(path+".tokens", "must be at least 1")
+				c.report(path+".tokens", "must be at least 1")
 			}
 		}
 	}
@@ -178,33 +179,33 @@
 	for i, t := range q.Targets {
 		path := fmt.Sprintf("targets.%d", i)
 		if !slices.Contains(q.FailureDomains, t.FailureDomain) {
-			c.complain(path+".failure_domain", "no failure domain is named %q", t.FailureDomain)
+			c.report(path+".failure_domain", "no failure domain is named %q", t.FailureDomain)
 		}
 		if t.Concurrency < 1 {
-			c.complain(path+".concurrency", "must be at least 1")
+			c.report(path+".concurrency", "must be at least 1")
 		}
 		switch t.Kind {
 		case KindEngine:
 			c.engine(path, t)
 		case KindService:
 			if _, ok := services[t.Service]; !ok {
-				c.complain(path+".service", "no service is named %q", t.Service)
+				c.report(path+".service", "no service is named %q", t.Service)
 			}
 		default:
-			c.complain(path+".kind", "%q: %s or %s are allowed", t.Kind, KindEngine, KindService)
+			c.report(path+".kind", "%q: must be %s or %s", t.Kind, KindEngine, KindService)
 		}
 	}
 }
 
 func (c *checker) engine(path string, t Target) {
 	if t.Service != "" {
-		c.complain(path+".service", "an engine belongs to no service")
+		c.report(path+".service", "must be empty for an engine")
 	}
 	if t.Memory <= 0 {
-		c.complain(path+".memory", "must be above 0")
+		c.report(path+".memory", "must be above 0")
 	}
 	if t.KVCache <= 0 || t.KVCache >= t.Memory {
-		c.complain(path+".kv_cache", "must be above 0 and below the memory")
+		c.report(path+".kv_cache", "must be above 0 and below the target's memory")
 	}
 }
 
@@ -213,34 +214,34 @@
 	for i, k := range q.Classes {
 		path := fmt.Sprintf("classes.%d", i)
 		if !slices.Contains([]string{UrgencyInteractive, UrgencyMustFinish, UrgencyByDeadline}, k.Urgency) {
-			c.complain(path+".urgency", "%q: %s, %s or %s are allowed", k.Urgency, UrgencyInteractive, UrgencyMustFinish, UrgencyByDeadline)
+			c.report(path+".urgency", "%q: must be %s, %s or %s", k.Urgency, UrgencyInteractive, UrgencyMustFinish, UrgencyByDeadline)
 		}
 		if k.Deadline <= 0 || k.Deadline > maxDeadline {
-			c.complain(path+".deadline", "must be above 0 and at most 24h")
+			c.report(path+".deadline", "must be above 0 and at most 24h")
 		}
 		if k.Default {
 			defaults++
 		}
 		if k.Default && !k.Repeatable {
-			c.complain(path+".default", "the default class must be repeatable")
+			c.report(path+".default", "the default class must be repeatable")
 		}
 	}
 	if len(q.Models) > 0 && defaults != 1 {
-		c.complain("classes", "exactly one class must be the default, %d are", defaults)
+		c.report("classes", "exactly one class must be the default, found %d", defaults)
 	}
 }
 
 func (c *checker) workspaces(q *Questionnaire, models, adapters, services map[string]int) {
 	if len(q.Workspaces) == 0 {
-		c.complain("workspaces", "at least one is needed")
+		c.report("workspaces", "at least one is required")
 	}
 	for i, w := range q.Workspaces {
 		path := fmt.Sprintf("workspaces.%d", i)
 		if w.Rate <= 0 || w.Rate > maxRate {
-			c.complain(path+".rate", "must be above 0 and at most %d tokens a second", maxRate)
+			c.report(path+".rate", "must be above 0 and at most %d tokens a second", maxRate)
 		}
 		if w.Burst <= 0 || w.Burst > maxRate {
-			c.complain(path+".burst", "must be above 0 and at most %d tokens", maxRate)
+			c.report(path+".burst", "must be above 0 and at most %d tokens", maxRate)
 		}
 		c.allowed(path+".models", w.Models, models, adapters)
 		c.allowed(path+".services", w.Services, services, nil)
@@ -251,8 +252,8 @@
 	for j, n := range names {
 		_, ok := known[n]
 		_, okAlso := also[n]
-		if n != all && !ok && !okAlso {
-			c.complain(fmt.Sprintf("%s.%d", path, j), "%q is not known", n)
+		if n != wildcard && !ok && !okAlso {
+			c.report(fmt.Sprintf("%s.%d", path, j), "%q is not known", n)
 		}
 	}
 }
--- a/coord/config/config_test.go
+++ b/coord/config/config_test.go
@@ -24,7 +24,7 @@
 }
 
 var _ = Describe("a questionnaire", func() {
-	DescribeTable("of the deployments has the stated sizes",
+	DescribeTable("of an example deployment yields the expected numbers of entries",
 		func(name string, models, adapters, engines, services int, loads float64) {
 			q, err := config.Parse([]byte(example(name)))
 			Expect(err).NotTo(HaveOccurred())
@@ -41,9 +41,9 @@
 		Entry("Kyklos", "kyklos.yaml", 95, 110, 18, 3, 6.0),
 	)
 
-	// An operator mistypes one answer. If the slip were taken in, it would be in
-	// force everywhere within seconds; instead the answer names line and reason.
-	DescribeTable("with a slip is refused with its line",
+	// Guards against a typing error that is accepted and in force on every host within
+	// seconds. The error must name the line and the reason.
+	DescribeTable("with a wrong value is rejected with its line",
 		func(old, new, line, reason string) {
 			text := example("vaalkop.yaml")
 			Expect(text).To(ContainSubstring(old))
@@ -61,7 +61,7 @@
 		Entry("two default classes", "deadline: 3s, repeatable: true", "deadline: 3s, repeatable: true, default: true", "line 12", "exactly one"),
 	)
 
-	It("that is empty, doubled or too long is refused", func() {
+	It("that is empty, too long or holds two documents is rejected", func() {
 		_, err := config.Parse(nil)
 		Expect(err).To(MatchError(ContainSubstring("empty")))
 		text := example("kyklos.yaml")
--- a/coord/config/configuration.go
+++ b/coord/config/configuration.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// all stands for every model or service in a workspace's list.
-const all = "*"
+// wildcard allows every model or service in a workspace's list.
+const wildcard = "*"
 
-// Configuration is what every process follows. It is derived from a
-// questionnaire alone, so that each process derives the same one.
+// Configuration is the configuration that every process of a deployment applies. It is
+// derived from a questionnaire alone, so that all processes derive the same one.
 type Configuration struct {
 	Revision   uint64
 	Deployment string
@@ -21,11 +21,12 @@
 	Classes    map[string]ClassSpec
 	Workspaces map[string]WorkspaceSpec
 	Domains    []string
-	// DefaultClass is taken for model calls that name none.
+	// DefaultClass is the class of model calls that do not name one.
 	DefaultClass string
 }
 
-// StoreLimits bounds what the fleet asks of the weight store.
+// StoreLimits limits the load that the fleet puts on the weight store. The fields
+// are those of Store.
 type StoreLimits struct {
 	LoadsPerSecond   float64
 	FullSpeedLoads   int
@@ -33,7 +34,8 @@
 	AdapterLoadLimit time.Duration
 }
 
-// ModelSpec is a model as placement and agents see it.
+// ModelSpec describes a model to placement and to the agents. Bytes is the size of
+// its weights, Cached lists the targets whose host has the checkpoint on disk.
 type ModelSpec struct {
 	Name     string
 	Version  string
@@ -42,26 +44,27 @@
 	Cached   []string
 }
 
-// AdapterSpec is an adapter.
+// AdapterSpec describes an adapter and names its base model.
 type AdapterSpec struct {
 	Name  string
 	Model string
 	Bytes int64
 }
 
-// ServiceSpec is a plain service and its calls by path.
+// ServiceSpec describes a plain service and its calls by path.
 type ServiceSpec struct {
 	Name  string
 	Calls map[string]CallSpec
 }
 
-// CallSpec is one call of a plain service.
+// CallSpec describes one call of a plain service: its class, and the tokens that each
+// call charges to the workspace.
 type CallSpec struct {
 	Class  string
 	Tokens int64
 }
 
-// TargetSpec is a target.
+// TargetSpec describes a target: a model engine or a replica of a plain service.
 type TargetSpec struct {
 	Name          string
 	Kind          string
@@ -73,12 +76,12 @@
 	ChecksFencing bool
 }
 
-// WeightBytes is the memory left for weights.
+// WeightBytes returns the memory available for weights, in bytes.
 func (t TargetSpec) WeightBytes() int64 {
 	return t.MemoryBytes - t.KVCacheBytes
 }
 
-// ClassSpec is a class of call.
+// ClassSpec describes a class of call. Urgency is one of the Urgency constants.
 type ClassSpec struct {
 	Name       string
 	Urgency    string
@@ -86,12 +89,13 @@
 	Repeatable bool
 }
 
-// Interactive reports whether a person waits for the answer.
+// Interactive reports whether a user waits for the answer.
 func (c ClassSpec) Interactive() bool {
 	return c.Urgency == UrgencyInteractive
 }
 
-// WorkspaceSpec is a workspace's rate and what it may use.
+// WorkspaceSpec describes a workspace: its rate in tokens per second, its burst in
+// tokens, and the models and services that it may use.
 type WorkspaceSpec struct {
 	Name     string
 	Rate     int64
@@ -100,17 +104,18 @@
 	Services []string
 }
 
-// MayUseModel reports whether the workspace may use a model, or an adapter on it.
+// MayUseModel reports whether the workspace's list of models allows name, a model
+// or an adapter.
 func (w WorkspaceSpec) MayUseModel(name string) bool {
-	return slices.Contains(w.Models, all) || slices.Contains(w.Models, name)
+	return slices.Contains(w.Models, wildcard) || slices.Contains(w.Models, name)
 }
 
 // MayUseService reports whether the workspace may call a plain service.
 func (w WorkspaceSpec) MayUseService(name string) bool {
-	return slices.Contains(w.Services, all) || slices.Contains(w.Services, name)
+	return slices.Contains(w.Services, wildcard) || slices.Contains(w.Services, name)
 }
 
-// Generate derives the configuration of a checked questionnaire.
+// Generate derives the configuration of a questionnaire that Parse has checked.
 func Generate(q *Questionnaire, revision uint64) *Configuration {
 	c := &Configuration{
 		Revision:   revision,
@@ -162,8 +167,8 @@
 	return spec
 }
 
-// BaseOf returns the model that serves a name: the model itself, or an
-// adapter's model together with the adapter.
+// BaseOf resolves the name of a model or an adapter. For an adapter it returns its
+// base model and the adapter. It reports false if there is no such name.
 func (c *Configuration) BaseOf(name string) (model, adapter string, ok bool) {
 	if _, isModel := c.Models[name]; isModel {
 		return name, "", true
--- a/coord/config/doc.go
+++ b/coord/config/doc.go
@@ -1,6 +1,6 @@
-// Package config is the aggregate of a deployment's configuration. A
-// questionnaire is what an operator writes; Parse reads it strictly, Check
-// refuses what cannot be served, and Generate derives the configuration that
-// every process follows. Nobody writes routes or thresholds by hand: a value
-// that is not in the questionnaire is derived here, with its reason.
+// Package config reads an operator's questionnaire and derives a deployment's
+// configuration from it. Parse decodes the questionnaire strictly and rejects one
+// that cannot be served; Generate derives the configuration that every process
+// applies. Routes and thresholds are not written by hand: a value that is not in the
+// questionnaire is derived here.
 package config
--- a/coord/config/lines.go
+++ b/coord/config/lines.go
@@ -6,12 +6,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// lines maps the path of a node, such as models.3.size, to its line.
+// lines maps the path of a YAML node, such as models.3.size, to its line number.
 type lines map[string]int
 
-// locate records where each node of the text stands. Text that does not parse
-// gives an empty map: the decoder has already complained.
-func locate(text []byte) lines {
+// nodeLines returns the line number of each YAML node in text. For text that does not
+// parse the map is empty: the decoder has already returned an error for it.
+func nodeLines(text []byte) lines {
 	var doc yaml.Node
 	ls := lines{}
 	if yaml.Unmarshal(text, &doc) != nil || len(doc.Content) == 0 {
@@ -26,23 +26,23 @@
 	switch n.Kind {
 	case yaml.MappingNode:
 		for i := 0; i+1 < len(n.Content); i += 2 {
-			ls.walk(join(path, n.Content[i].Value), n.Content[i+1])
+			ls.walk(joinPath(path, n.Content[i].Value), n.Content[i+1])
 		}
 	case yaml.SequenceNode:
 		for i, c := range n.Content {
-			ls.walk(join(path, strconv.Itoa(i)), c)
+			ls.walk(joinPath(path, strconv.Itoa(i)), c)
 		}
 	}
 }
 
-func join(path, part string) string {
+func joinPath(path, part string) string {
 	if path == "" {
 		return part
 	}
 	return path + "." + part
 }
 
-// at returns the line of a path, or of its nearest parent that stands in the text.
+// at returns the line number of a path, or that of its nearest parent in the text.
 func (ls lines) at(path string) int {
 	for {
 		if l, ok := ls[path]; ok {
