--- a/coord/deployment/deployment_test.go
+++ b/coord/deployment/deployment_test.go
@@ -36,19 +36,19 @@
 }
 
 var _ = Describe("the check of a deployment", func() {
-	It("passes a valid one", func() { Expect(deployment.Check(valid())).To(Succeed()) })
+	It("accepts a valid one", func() { Expect(deployment.Check(valid())).To(Succeed()) })
 
-	DescribeTable("refuses what cannot be followed", func(spoil func(*coordpb.Deployment), says string) {
+	DescribeTable("rejects an invalid one", func(corrupt func(*coordpb.Deployment), message string) {
 		d := valid()
-		spoil(d)
+		corrupt(d)
 		err := deployment.Check(d)
 		Expect(fault.Is(err, fault.InvalidRequest)).To(BeTrue())
-		Expect(err.Error()).To(ContainSubstring(says))
+		Expect(err.Error()).To(ContainSubstring(message))
 	},
 		Entry("no version", func(d *coordpb.Deployment) { d.Version = 0 }, "version"),
 		Entry("an unknown service", func(d *coordpb.Deployment) { d.Routes[0].Services[0].Service = "x" }, "unknown service"),
-		Entry("two routes in one place", func(d *coordpb.Deployment) { d.Routes[1].Prefix = "/a/" }, "share host"),
-		Entry("two routes in one place, in other case", func(d *coordpb.Deployment) {
+		Entry("two routes with the same host and prefix", func(d *coordpb.Deployment) { d.Routes[1].Prefix = "/a/" }, "share host"),
+		Entry("two routes with the same host in other case", func(d *coordpb.Deployment) {
 			d.Routes[1].Prefix, d.Routes[1].Host = "/a/", "H.example"
 		}, "share host"),
 		Entry("weights of 0", func(d *coordpb.Deployment) { d.Routes[0].Services[0].Weight = 0 }, "add up to 0"),
@@ -72,7 +72,7 @@
 		Expect(x.Route("other.example", "/a/")).To(BeNil())
 	})
 
-	It("finds a key's holder, and knows which routes need none", func() {
+	It("finds the workspace of a key, and reports which routes need a key", func() {
 		Expect(x.Holder("key").Name).To(Equal("w"))
 		Expect(x.Holder("other")).To(BeNil())
 		Expect(x.NeedsKey(x.Route("h.example", "/a/"))).To(BeTrue())
@@ -90,7 +90,7 @@
 		Expect(count).NotTo(HaveKey("never"))
 	})
 
-	It("tells how long a caller waits for an event", func() {
+	It("returns how long a caller waits for an event", func() {
 		r := route("h", "/a/")
 		r.LatencyMs, r.PauseMs = 300, 300
 		Expect(deployment.Patience(r)).To(Equal(2400 * time.Millisecond))
@@ -104,8 +104,8 @@
 		return &coordpb.AdoptDeployment{Deployment: &coordpb.Deployment{Version: version}, Source: []byte(source)}
 	}
 
-	// Two operators race, acknowledgements are lost, and each call is sent again in
-	// any order: every order must end with the highest version.
+	// Guards against an older version in force after concurrent operators, lost
+	// acknowledgements and retries in any order.
 	It("keeps the highest version whatever the order", func() {
 		r := &deployment.Register{}
 		Expect(r.Adopt(adopt(7, "seven"), 1)).To(BeTrue())
--- a/coord/deployment/index.go
+++ b/coord/deployment/index.go
@@ -15,16 +15,16 @@
 // Digest is the SHA-256 of a caller's key.
 type Digest [sha256.Size]byte
 
-// DigestOf returns the digest under which a key is known.
+// DigestOf returns the digest of a key. Deployments hold digests, never keys.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// Index answers what a request needs of one deployment. It is never changed once made.
+// Index provides the lookups that a request needs in one deployment. It is immutable.
 type Index struct {
 	Version    uint64
 	Limits     *coordpb.CallerLimits
 	routes     map[string][]*coordpb.DeploymentRoute // by host, longest prefix first
 	services   map[string]*Service
-	holders    map[Digest]*coordpb.DeploymentWorkspace
+	byKey      map[Digest]*coordpb.DeploymentWorkspace
 	workspaces []*coordpb.DeploymentWorkspace
 }
 
@@ -37,13 +37,13 @@
 // RunsModels reports whether the service's targets hold models.
 func (s *Service) RunsModels() bool { return s.Engine != nil && len(s.Models) > 0 }
 
-// NewIndex indexes a checked deployment.
+// NewIndex indexes a deployment that has passed Check.
 func NewIndex(d *coordpb.Deployment) *Index {
 	x := &Index{
 		Version: d.Version, Limits: d.Limits,
 		routes:     map[string][]*coordpb.DeploymentRoute{},
 		services:   map[string]*Service{},
-		holders:    map[Digest]*coordpb.DeploymentWorkspace{},
+		byKey:      map[Digest]*coordpb.DeploymentWorkspace{},
 		workspaces: d.Workspaces,
 	}
 	if x.Limits == nil {
@@ -63,7 +63,7 @@
 	}
 	for _, w := range d.Workspaces {
 		for _, digest := range w.KeyDigests {
-			x.holders[Digest(digest)] = w
+			x.byKey[Digest(digest)] = w
 		}
 	}
 	return x
@@ -88,19 +88,20 @@
 	return nil
 }
 
-// Service returns a service by name, nil if it is not known.
+// Service returns a service by name, nil if there is none.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Holder returns the workspace that holds a key, nil if none does.
-func (x *Index) Holder(key string) *coordpb.DeploymentWorkspace { return x.holders[DigestOf(key)] }
+// Holder returns the workspace that a key belongs to, nil if there is none.
+func (x *Index) Holder(key string) *coordpb.DeploymentWorkspace { return x.byKey[DigestOf(key)] }
 
-// NeedsKey reports whether calls on a route carry a key.
+// NeedsKey reports whether calls on a route must carry a key: the deployment has
+// workspaces, and the route is not anonymous.
 func (x *Index) NeedsKey(r *coordpb.DeploymentRoute) bool {
 	return len(x.workspaces) > 0 && !r.Anonymous
 }
 
-// ServiceFor returns the service that a request goes to: drawn by weight from the
-// request's own id, so that every host draws the same one for it.
+// ServiceFor selects the service of a request by weight. It hashes the request id, so
+// that every host selects the same service for a request.
 func ServiceFor(r *coordpb.DeploymentRoute, requestID string) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
@@ -111,23 +112,24 @@
 	}
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(requestID))
-	point := float64(mix(h.Sum64())>>11) / (1 << 53) * sum
+	position := float64(mixBits(h.Sum64())>>11) / (1 << 53) * sum
 	last := ""
 	for _, w := range r.Services {
 		if w.Weight <= 0 {
 			continue
 		}
 		last = w.Service
-		if point < w.Weight {
+		if position < w.Weight {
 			return w.Service
 		}
-		point -= w.Weight
+		position -= w.Weight
 	}
 	return last
 }
 
-// mix spreads the bits of a hash: the high bits of FNV of short ids are much alike.
-func mix(x uint64) uint64 {
+// mixBits is the 64-bit finalizer of MurmurHash3: the high bits of the FNV hashes of
+// short ids differ too little.
+func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -135,7 +137,8 @@
 	return x ^ x>>33
 }
 
-// Limits returns the limits of the workspaces of a deployment that have one.
+// Limits returns the rate limits of a deployment's workspaces by name. A workspace with
+// a rate of 0 has no limit and is left out.
 func Limits(d *coordpb.Deployment) map[string]workspace.Limit {
 	limits := map[string]workspace.Limit{}
 	for _, w := range d.GetWorkspaces() {
@@ -146,19 +149,19 @@
 	return limits
 }
 
-// patienceFloor and the two factors say how long a caller waits for the next event
-// of a stream before it gives up: as the callers of the platform state it.
+// How long a caller waits for the next event of a stream before it gives up is the
+// largest of these three, as specified by the platform's callers.
 const (
-	patienceFloor        = 2 * time.Second
-	patienceLatencyTimes = 4
-	patiencePauseTimes   = 8
+	minEventTimeout  = 2 * time.Second
+	timeoutLatencies = 4 // multiple of the route's latency
+	timeoutPauses    = 8 // multiple of the route's longest pause between events
 )
 
-// Patience is how long a caller of a streaming route waits for the next event.
-// A request that cannot begin to answer within it is refused at once and told
-// when to come back.
+// Patience returns how long a caller of a streaming route waits for the next event.
+// A request whose answer cannot begin within that time is rejected at once with a
+// retry delay.
 func Patience(r *coordpb.DeploymentRoute) time.Duration {
-	return max(patienceFloor,
-		patienceLatencyTimes*time.Duration(r.LatencyMs)*time.Millisecond,
-		patiencePauseTimes*time.Duration(r.PauseMs)*time.Millisecond)
+	return max(minEventTimeout,
+		timeoutLatencies*time.Duration(r.LatencyMs)*time.Millisecond,
+		timeoutPauses*time.Duration(r.PauseMs)*time.Millisecond)
 }
