--- a/coord/discovery/announcements.go
+++ b/coord/discovery/announcements.go
@@ -7,51 +7,54 @@
 )
 
 const (
-	// announcementLifetime is several announcements to a seed: what is not announced any
-	// more is not passed on.
+	// announcementLifetime is how long an announcement is relayed: several times
+	// seedInterval, so that only addresses no longer announced expire.
 	announcementLifetime = 10 * time.Second
-	// maxAnnouncers bounds the table; a group has a few members.
+	// maxAnnouncers limits the size of the table; a group has only a few members.
 	maxAnnouncers = 64
 )
 
-// Announcements holds the addresses that control processes announced themselves. Only these
-// are relayed: relaying what was relayed would keep the address of a removed member alive.
+// Announcements holds the addresses that control processes announced to this process. Only
+// these are relayed: if relayed addresses were relayed again, that of a removed member would
+// never expire.
 type Announcements struct {
-	heard map[string]announcement // by the address of who announced
+	byAnnouncer map[string]announcement // by the sender's address
 }
 
 type announcement struct {
 	addresses []string
-	until     time.Time
+	expires   time.Time
 }
 
 // NewAnnouncements returns an empty table.
 func NewAnnouncements() *Announcements {
-	return &Announcements{heard: map[string]announcement{}}
+	return &Announcements{byAnnouncer: map[string]announcement{}}
 }
 
-// Note takes the announcement of the control process at an address.
+// Note records an announcement from the control process at an address. A new sender is
+// ignored while the table is full.
 func (a *Announcements) Note(from string, addresses []string, now time.Time) {
-	a.forget(now)
-	if _, known := a.heard[from]; !known && len(a.heard) >= maxAnnouncers {
+	a.dropExpired(now)
+	if _, known := a.byAnnouncer[from]; !known && len(a.byAnnouncer) >= maxAnnouncers {
 		return
 	}
-	a.heard[from] = announcement{addresses: slices.Clone(addresses), until: now.Add(announcementLifetime)}
+	a.byAnnouncer[from] = announcement{addresses: slices.Clone(addresses), expires: now.Add(announcementLifetime)}
 }
 
-// Addresses returns the control processes that were announced lately, in order.
+// Addresses returns the addresses of the control processes in unexpired announcements,
+// sorted.
 func (a *Announcements) Addresses(now time.Time) []string {
-	a.forget(now)
-	known := map[string]bool{}
-	for from, h := range a.heard { // any order: a union
-		known[from] = true
-		for _, address := range h.addresses {
-			known[address] = true
+	a.dropExpired(now)
+	all := map[string]bool{}
+	for from, n := range a.byAnnouncer { // any order: the result is sorted
+		all[from] = true
+		for _, address := range n.addresses {
+			all[address] = true
 		}
 	}
-	return slices.Sorted(maps.Keys(known))
+	return slices.Sorted(maps.Keys(all))
 }
 
-func (a *Announcements) forget(now time.Time) {
-	maps.DeleteFunc(a.heard, func(_ string, h announcement) bool { return !now.Before(h.until) })
+func (a *Announcements) dropExpired(now time.Time) {
+	maps.DeleteFunc(a.byAnnouncer, func(_ string, n announcement) bool { return !now.Before(n.expires) })
 }
--- a/coord/discovery/announcer.go
+++ b/coord/discovery/announcer.go
@@ -5,95 +5,96 @@
 	"time"
 )
 
-// Intervals of announcements to one process.
+// Intervals between announcements to one process.
 const (
-	// seedInterval is within the second in which a seed that has just started must lead
-	// to control.
+	// seedInterval is below 1 s, the time within which a seed that has just started must
+	// return addresses of the control group.
 	seedInterval = 700 * time.Millisecond
 	firstRetry   = 500 * time.Millisecond
-	longestRetry = 8 * time.Second
-	// settledInterval covers a process whose restart neither the leader nor the member that
-	// it followed has seen.
+	maxRetry     = 8 * time.Second
+	// settledInterval applies to a process that follows control. It bounds the delay after
+	// a restart that neither the leader nor the member that it followed noticed.
 	settledInterval = 2 * time.Minute
 )
 
-// Outcome is what became of an announcement.
+// Outcome is the result of an announcement.
 type Outcome int
 
-// The outcomes of an announcement.
+// Results of an announcement.
 const (
 	Unreachable Outcome = iota
-	Searching           // the process did not follow control yet
-	Following
+	Searching           // the process did not follow the control group yet
+	Following           // the process already follows the control group
 )
 
 // Announcer schedules the announcements to seeds and registered processes.
 type Announcer struct {
-	contacts map[string]*contact // by address
+	recipients map[string]*recipient // by address
 }
 
-type contact struct {
-	seed  bool
-	busy  bool // an announcement is under way
-	due   time.Time
-	retry time.Duration
+type recipient struct {
+	seed     bool
+	inFlight bool // returned by Due, Done not yet called
+	due      time.Time
+	retry    time.Duration // delay of the latest retry, 0 if none is pending
 }
 
 // NewAnnouncer returns an announcer without recipients.
-func NewAnnouncer() *Announcer { return &Announcer{contacts: map[string]*contact{}} }
+func NewAnnouncer() *Announcer { return &Announcer{recipients: map[string]*recipient{}} }
 
-// SetAudience replaces the recipients: the seeds of the settings, and the registered
-// processes that do not poll this one. New ones are due at once.
+// SetAudience replaces the recipients: the seeds in the settings, and the registered
+// processes that do not poll this one. New recipients are due at once.
 func (a *Announcer) SetAudience(seeds, processes []string, now time.Time) {
-	kept := make(map[string]*contact, len(seeds)+len(processes))
+	kept := make(map[string]*recipient, len(seeds)+len(processes))
 	for _, address := range processes {
-		kept[address] = a.contact(address, now)
+		kept[address] = a.recipient(address, now)
 		kept[address].seed = false
 	}
 	for _, address := range seeds {
-		kept[address] = a.contact(address, now)
+		kept[address] = a.recipient(address, now)
 		kept[address].seed = true
 	}
-	a.contacts = kept
+	a.recipients = kept
 }
 
-func (a *Announcer) contact(address string, now time.Time) *contact {
-	if c, known := a.contacts[address]; known {
-		return c
+func (a *Announcer) recipient(address string, now time.Time) *recipient {
+	if r, known := a.recipients[address]; known {
+		return r
 	}
-	return &contact{due: now}
+	return &recipient{due: now}
 }
 
-// Due returns up to most recipients that are due. Each must be followed by Done.
-func (a *Announcer) Due(now time.Time, most int) []string {
+// Due returns the addresses of at most limit recipients that are due. The caller must
+// call Done for each of them; until then it is not returned again.
+func (a *Announcer) Due(now time.Time, limit int) []string {
 	var due []string
-	for address, c := range a.contacts { // any order: sorted below
-		if !c.busy && !now.Before(c.due) {
+	for address, r := range a.recipients { // any order: sorted below
+		if !r.inFlight && !now.Before(r.due) {
 			due = append(due, address)
 		}
 	}
 	slices.Sort(due)
-	due = due[:min(most, len(due))]
+	due = due[:min(limit, len(due))]
 	for _, address := range due {
-		a.contacts[address].busy = true
+		a.recipients[address].inFlight = true
 	}
 	return due
 }
 
-// Done records the outcome of an announcement.
+// Done records the outcome of an announcement and schedules the next one.
 func (a *Announcer) Done(address string, outcome Outcome, now time.Time) {
-	c, known := a.contacts[address]
+	r, known := a.recipients[address]
 	if !known {
 		return
 	}
-	c.busy = false
+	r.inFlight = false
 	switch {
-	case c.seed:
-		c.due, c.retry = now.Add(seedInterval), 0
+	case r.seed:
+		r.due, r.retry = now.Add(seedInterval), 0
 	case outcome == Following:
-		c.due, c.retry = now.Add(settledInterval), 0
+		r.due, r.retry = now.Add(settledInterval), 0
 	default:
-		c.retry = min(max(2*c.retry, firstRetry), longestRetry)
-		c.due = now.Add(c.retry)
+		r.retry = min(max(2*r.retry, firstRetry), maxRetry)
+		r.due = now.Add(r.retry)
 	}
 }
