--- a/coord/fleet/repair.go
+++ b/coord/fleet/repair.go
@@ -4,39 +4,35 @@
 	"time"
 )
 
-// Load pattern: a host with a disk is taken away for good, comes back with an empty
-// disk, or is replaced by another one; and the next one is lost soon after.
-//
-// Without repair the group keeps counting the lost member: with three members, one
-// replaced and one more lost, two of four voters are no majority, although only as
-// many hosts are down as may be lost at once.
-//
-// A member that is removed though it lives finds that out and joins again under a
-// new id, so that a wrong guess costs a catch-up and no safety.
+// Load pattern: a control host is lost, replaced or loses its disk, and soon after another fails.
+// Without it: the lost member still counts. With three members, one replaced and one more
+// lost, 2 of 4 voters are no majority, although only a tolerated number of hosts is down.
+// Rule: remove a silent member if enough others answer, sooner if it was replaced. One
+// removed by mistake joins again under a new id: a mistake costs a catch-up, not safety.
 
-// Member is one member of the control group as its leader sees it.
+// Member is a member of the control group as seen by the leader.
 type Member struct {
 	ID      uint64
 	Address string
 	Voter   bool
-	Silent  time.Duration // since the leader last heard of it; 0 for the leader itself
+	Silent  time.Duration // since the leader last received a message from it; 0 for the leader
 }
 
 const (
-	// silentBesideNew is how long a member is silent before one that has just
-	// joined takes its place: above an election timeout and the longest stall of a
-	// link that loses packets, and well below the time in which a replacement must
-	// count.
-	silentBesideNew = 1500 * time.Millisecond
-	// silentAlone is how long a member is silent before it is removed without a
-	// replacement: above every restart, cut or freeze that passes by itself.
-	silentAlone = 20 * time.Second
-	// AnswersWithin is the silence up to which a member counts as answering.
+	// replacedSilence is the silence after which a member is removed if a new voter has
+	// joined: above an election timeout and the longest stall of a link with packet loss,
+	// and well below the time within which a replacement must take effect.
+	replacedSilence = 1500 * time.Millisecond
+	// removalSilence is the silence after which a member is removed without a replacement:
+	// above the duration of every transient restart, network partition or process freeze.
+	removalSilence = 20 * time.Second
+	// AnswersWithin is the silence below which a member counts as answering.
 	AnswersWithin = time.Second
 )
 
-// Repair returns a member to remove now. Tolerated is how many members may be lost
-// at once; the group is never made smaller than that needs.
+// Repair returns a member to remove now and the reason for the log. Tolerated is the
+// number of members that may fail at once; a voter is removed only if at least
+// 2*tolerated+1 voters answer, or if another member has its address.
 func Repair(members []Member, tolerated int) (id uint64, reason string, ok bool) {
 	byAddress := map[string]int{}
 	answering := 0
@@ -47,18 +43,18 @@
 		}
 	}
 	for _, m := range members {
-		// Two members at one address: the one that is silent lost its disk.
+		// Of two members with one address, the silent one is from before the disk was lost.
 		if byAddress[m.Address] > 1 && m.Silent >= AnswersWithin {
-			return m.ID, "its host came back with another disk", true
+			return m.ID, "silent, and another member joined from its address: its disk was lost or replaced", true
 		}
 	}
-	least := 2*tolerated + 1
+	minVoters := 2*tolerated + 1
 	for _, m := range members {
 		switch {
-		case m.Voter && m.Silent >= silentBesideNew && len(members) > least && answering >= least:
-			return m.ID, "another member has taken its place", true
-		case m.Silent >= silentAlone && (answering >= least || !m.Voter):
-			return m.ID, "it is silent", true
+		case m.Voter && m.Silent >= replacedSilence && len(members) > minVoters && answering >= minVoters:
+			return m.ID, "silent, and another member has replaced it", true
+		case m.Silent >= removalSilence && (answering >= minVoters || !m.Voter):
+			return m.ID, "silent for too long", true
 		}
 	}
 	return 0, "", false
--- a/coord/fleet/repair_test.go
+++ b/coord/fleet/repair_test.go
@@ -20,31 +20,31 @@
 		return out
 	}
 
-	It("leaves a group alone that answers, and one that has lost what it may lose", func() {
+	It("removes nobody if all members answer or the tolerated number is silent", func() {
 		_, _, ok := fleet.Repair(group(0, 0, 0), 1)
 		Expect(ok).To(BeFalse())
 		_, _, ok = fleet.Repair(group(0, 0, time.Hour), 1)
 		Expect(ok).To(BeFalse())
 	})
 
-	// A host is lost for good and another takes its place; then one more is lost.
-	// With the dead one still counted, two of four are no majority.
-	It("removes a silent member once another has taken its place", func() {
+	// Guards against a lost majority: if a replaced member still counts and one more host
+	// is lost, 2 of 4 voters are no majority.
+	It("removes a silent member once another has replaced it", func() {
 		id, _, ok := fleet.Repair(group(0, 0, 2*time.Second, 0), 1)
 		Expect(ok).To(BeTrue())
 		Expect(id).To(Equal(uint64(3)))
 	})
 
-	It("does not count one that has no vote yet as a replacement", func() {
+	It("does not count a learner as a replacement", func() {
 		g := group(0, 0, 2*time.Second, 0)
 		g[3].Voter = false
 		_, _, ok := fleet.Repair(g, 1)
 		Expect(ok).To(BeFalse())
 	})
 
-	// A host comes back with an empty disk under its old address and joins anew. Its
-	// old self can never answer again.
-	It("removes the old self of a host that lost its disk", func() {
+	// A host that returns with an empty disk joins as a new member under its old address;
+	// its former member can never answer again.
+	It("removes the former member of a host that lost its disk", func() {
 		g := group(0, 0, 2*time.Second)
 		g = append(g, fleet.Member{ID: 9, Address: "c"})
 		id, _, ok := fleet.Repair(g, 1)
@@ -52,7 +52,7 @@
 		Expect(id).To(Equal(uint64(3)))
 	})
 
-	It("never makes the group smaller than what may be lost needs", func() {
+	It("never leaves fewer voters than the tolerated failures need", func() {
 		for n := 3; n <= 8; n++ {
 			g := group(make([]time.Duration, n)...)
 			g[0].Silent = time.Hour
--- a/coord/fleet/subscribers.go
+++ b/coord/fleet/subscribers.go
@@ -6,83 +6,83 @@
 	"time"
 )
 
-// ID names one start of one role on a host. A restarted process is another
-// subscriber: its predecessor may be frozen rather than dead, and its lease
-// counts until it lapses.
+// ID identifies one start of one role on a host. A restarted process is a new
+// subscriber: its predecessor may be frozen rather than dead, and the predecessor's
+// lease counts until it expires.
 type ID struct {
 	Host        string
 	Role        string
 	Incarnation string
 }
 
-// Subscriber is what is known of one process.
+// Subscriber is the state of one process that follows through this control process.
 type Subscriber struct {
 	ID           ID
-	Acknowledged uint64    // the highest revision that it said it holds
-	Granted      time.Time // when its newest freshness lease ends, as the grantor counts
-	Seen         time.Time // its last poll
+	Acknowledged uint64    // highest revision that it reported to hold
+	LeaseEnd     time.Time // end of its latest freshness lease on the grantor's clock
+	Seen         time.Time // time of its last poll
 }
 
-// Live reports whether its freshness lease may still hold.
+// Live reports whether its freshness lease may still be valid.
 func (s *Subscriber) Live(now time.Time) bool {
-	return now.Before(s.Granted)
+	return now.Before(s.LeaseEnd)
 }
 
-// Subscribers keeps the freshness leases that one control process granted.
+// Subscribers tracks the freshness leases that one control process granted.
 //
-// It answers when a change may be called in force: a key is withdrawn only once
-// no process can act on an older view. A process that was cut off keeps serving
-// by its lease and says nothing; so a lease counts until the subscriber
-// acknowledged the revision or the lease ended, whichever comes first.
+// It determines when a change is in force: a key is withdrawn only once no process can
+// act on an older view. A process that is cut off by a network partition keeps serving
+// under its lease without polling, so a lease counts until the subscriber acknowledges
+// the revision or the lease expires, whichever comes first.
 type Subscribers struct {
-	rows    map[ID]*Subscriber
+	byID    map[ID]*Subscriber
 	settled time.Time
 }
 
-// NewSubscribers returns an empty table. Before settled, leases from an earlier
-// start of this control process, which nobody remembers, may still hold: that is
-// one whole lease after the start.
+// NewSubscribers returns an empty table. Until settled, one full lease duration after
+// the start, leases granted by an earlier start of this control process may still be
+// valid; they are not in the table.
 func NewSubscribers(settled time.Time) *Subscribers {
-	return &Subscribers{rows: map[ID]*Subscriber{}, settled: settled}
+	return &Subscribers{byID: map[ID]*Subscriber{}, settled: settled}
 }
 
-// Seen notes a poll and the revision that it acknowledges.
+// Seen records a poll and the revision that it acknowledges.
 func (t *Subscribers) Seen(id ID, revision uint64, now time.Time) {
-	s := t.row(id)
+	s := t.ensure(id)
 	s.Seen = now
 	s.Acknowledged = max(s.Acknowledged, revision)
 }
 
-// Grant notes a freshness lease that ends at until.
+// Grant records a freshness lease that ends at until. It never shortens a lease.
 func (t *Subscribers) Grant(id ID, until time.Time) {
-	s := t.row(id)
-	if until.After(s.Granted) {
-		s.Granted = until
+	s := t.ensure(id)
+	if until.After(s.LeaseEnd) {
+		s.LeaseEnd = until
 	}
 }
 
-func (t *Subscribers) row(id ID) *Subscriber {
-	s, ok := t.rows[id]
+func (t *Subscribers) ensure(id ID) *Subscriber {
+	s, ok := t.byID[id]
 	if !ok {
 		s = &Subscriber{ID: id}
-		t.rows[id] = s
+		t.byID[id] = s
 	}
 	return s
 }
 
-// Settled reports whether every lease that could hold was granted by this start.
+// Settled reports whether every lease that may be valid was granted since this start.
 func (t *Subscribers) Settled(now time.Time) bool {
 	return !now.Before(t.settled)
 }
 
-// InForce reports whether no process that follows through here can act on a view
-// older than revision. It holds only for as long as every lease granted from now
-// on carries at least that revision.
+// InForce reports whether no process that follows through this control process can act
+// on a view older than revision. The result stays true only if every lease granted from
+// now on comes with at least that revision.
 func (t *Subscribers) InForce(revision uint64, now time.Time) bool {
 	if !t.Settled(now) {
 		return false
 	}
-	for _, s := range t.rows { // any order: one row decides
+	for _, s := range t.byID { // any order: one entry decides
 		if s.Live(now) && s.Acknowledged < revision {
 			return false
 		}
@@ -90,27 +90,27 @@
 	return true
 }
 
-// List returns all subscribers in order of host, role and incarnation.
+// List returns copies of all subscribers, sorted by host, role and incarnation.
 func (t *Subscribers) List() []Subscriber {
-	ids := slices.SortedFunc(maps.Keys(t.rows), compare)
+	ids := slices.SortedFunc(maps.Keys(t.byID), compareIDs)
 	out := make([]Subscriber, 0, len(ids))
 	for _, id := range ids {
-		out = append(out, *t.rows[id])
+		out = append(out, *t.byID[id])
 	}
 	return out
 }
 
-// Prune forgets subscribers not seen since the time given. Their leases must have
-// ended: a lease that may hold is never forgotten.
+// Prune removes the subscribers whose last poll was before the given time and whose
+// lease has ended. One whose lease may still be valid is never removed.
 func (t *Subscribers) Prune(before, now time.Time) {
-	for id, s := range t.rows { // any order: each row is judged alone
+	for id, s := range t.byID { // any order: entries are independent
 		if s.Seen.Before(before) && !s.Live(now) {
-			delete(t.rows, id)
+			delete(t.byID, id)
 		}
 	}
 }
 
-func compare(a, b ID) int {
+func compareIDs(a, b ID) int {
 	for _, pair := range [][2]string{{a.Host, b.Host}, {a.Role, b.Role}, {a.Incarnation, b.Incarnation}} {
 		if pair[0] != pair[1] {
 			if pair[0] < pair[1] {
--- a/coord/fleet/suite_test.go
+++ b/coord/fleet/suite_test.go
@@ -21,10 +21,9 @@
 	entry := fleet.ID{Host: "e1", Role: "entry", Incarnation: "i1"}
 	table := func() *fleet.Subscribers { return fleet.NewSubscribers(at(3)) }
 
-	// An operator withdraws a key. One entry host was cut off a moment ago and
-	// still serves by its lease, with the key in its view. Told "withdrawn" now,
-	// the operator would be told too early.
-	It("calls a revision in force once each live lease has seen it or has lapsed", func() {
+	// Guards against a key reported as withdrawn while an entry host that was just cut
+	// off by a network partition still accepts it under its lease.
+	It("reports a revision in force once each live lease has acknowledged it or expired", func() {
 		s := table()
 		s.Seen(entry, 6, at(4))
 		s.Grant(entry, at(7))
@@ -36,16 +35,17 @@
 		Expect(s.InForce(7, at(8))).To(BeTrue())
 	})
 
-	// A control process restarts and has forgotten which leases it granted.
-	It("says nothing before the leases of an earlier start have lapsed", func() {
+	// Guards against a restarted control process that ignores the leases granted before
+	// its restart: they are not in its table.
+	It("reports no revision in force before the leases of an earlier start have expired", func() {
 		s := table()
 		Expect(s.InForce(1, at(2))).To(BeFalse())
 		Expect(s.InForce(1, at(3))).To(BeTrue())
 	})
 
-	// An entry host is frozen and its process restarted elsewhere under the same
-	// name; the frozen one wakes up within its lease.
-	It("counts the lease of a superseded incarnation until it lapses", func() {
+	// Guards against a frozen process that resumes within its lease after it was
+	// restarted on another machine under the same host name.
+	It("counts the lease of a superseded incarnation until it expires", func() {
 		s := table()
 		s.Seen(entry, 6, at(4))
 		s.Grant(entry, at(7))
@@ -57,7 +57,7 @@
 		Expect(s.InForce(8, at(7))).To(BeTrue())
 	})
 
-	It("never shortens a lease, nor takes an acknowledgement back, nor forgets a live lease", func() {
+	It("never shortens a lease, lowers an acknowledgement or removes a live lease", func() {
 		s := table()
 		s.Seen(entry, 6, at(4))
 		s.Seen(entry, 5, at(5))
