--- a/coord/fault/doc.go
+++ b/coord/fault/doc.go
@@ -1,7 +1,7 @@
-// Package fault holds the closed list of error kinds and the one table that
-// says, for each kind, what a caller is told: the HTTP status, the twirp code,
-// whether the request ran, and whether sending it again can help.
+// Package fault defines the closed set of error kinds and the table that maps
+// each kind to its answer: the HTTP status, the twirp code, whether the request
+// ran, and whether a retry can succeed.
 //
-// No other package invents a kind or a status. A new kind is added to the list
-// and to the table; the test of this package fails until both agree.
+// No other package defines a kind or a status. A new kind must be added to both
+// the list and the table; the test of this package fails while they differ.
 package fault
--- a/coord/fault/error.go
+++ b/coord/fault/error.go
@@ -9,8 +9,9 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Error is a failure with its kind. Ran, Repeatable and RetryAfter start from
-// the table; WithRan narrows Ran where the place of failure proves more.
+// Error is a failure of a known kind. Ran, Repeatable and RetryAfter default to
+// the kind's row in the table. WithRan overrides Ran and Repeatable where the
+// point of failure shows whether the request ran.
 type Error struct {
 	Kind       Kind
 	Message    string
@@ -24,20 +25,22 @@
 	return string(e.Kind) + ": " + e.Message
 }
 
-// New returns an error of kind k, wrapped with the caller's stack. The message
-// is shown to callers: it never holds a key, a prompt or an answer.
+// New returns an error of kind k, wrapped with the caller's stack trace. The
+// message is returned to clients: it must not contain an API key, a prompt or a
+// response.
 func New(k Kind, format string, args ...any) error {
 	return merry.WrapSkipping(newError(k, fmt.Sprintf(format, args...)), 1)
 }
 
-// After is New with the time after which the caller should come back.
+// After is like New and sets the delay after which the client should retry.
 func After(k Kind, wait time.Duration, format string, args ...any) error {
 	e := newError(k, fmt.Sprintf(format, args...))
 	e.RetryAfter = wait
 	return merry.WrapSkipping(e, 1)
 }
 
-// WithRan returns a copy of err's fault that says what is known of the run.
+// WithRan returns a copy of the Error in err with the given Ran and Repeatable.
+// It must not be called with a nil err.
 func WithRan(err error, ran Ran, repeatable bool) error {
 	e := *From(err)
 	e.Ran = ran
@@ -45,8 +48,8 @@
 	return &e
 }
 
-// From finds the fault in err. Context errors become Canceled or Timeout;
-// anything else becomes Internal. From(nil) is nil.
+// From returns the Error that err wraps. Without one, context errors become
+// Canceled or Timeout and any other error becomes Internal. From(nil) is nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -64,7 +67,7 @@
 	return newError(Internal, err.Error())
 }
 
-// Is reports whether err is a fault of kind k.
+// Is reports whether From(err) is of kind k. It is false for a nil err.
 func Is(err error, k Kind) bool {
 	return err != nil && From(err).Kind == k
 }
--- a/coord/fault/fault_test.go
+++ b/coord/fault/fault_test.go
@@ -28,9 +28,9 @@
 		}
 	})
 
-	// A caller may repeat freely whatever the table calls repeatable. If a kind
-	// that may have run were called repeatable, a doubled order would be our advice.
-	It("calls nothing repeatable that may have run", func() {
+	// Clients retry every error that the table marks repeatable. If the request may
+	// already have run, the retry executes it a second time.
+	It("marks no kind as repeatable whose request may have run", func() {
 		for _, k := range fault.Kinds() {
 			a := fault.AnswerFor(k)
 			if a.Repeatable {
@@ -39,7 +39,7 @@
 		}
 	})
 
-	It("finds a fault through wrapping and maps context errors", func() {
+	It("finds the Error in a wrapped error and maps context errors", func() {
 		err := fmt.Errorf("entry: %w", fault.New(fault.NotHere, "model %s", "m"))
 		Expect(fault.Is(err, fault.NotHere)).To(BeTrue())
 		Expect(fault.From(context.DeadlineExceeded).Kind).To(Equal(fault.Timeout))
@@ -47,13 +47,13 @@
 		Expect(fault.From(nil)).To(BeNil())
 	})
 
-	It("stands in the operators' page as it is", func() {
+	It("matches the table in the operators' page", func() {
 		page, err := os.ReadFile("../../docs/operators/errors.md")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(page)).To(ContainSubstring(fault.Table()), "put this table into docs/operators/errors.md:\n"+fault.Table())
 	})
 
-	It("answers an unknown kind as internal", func() {
+	It("maps an unknown kind to the answer for internal", func() {
 		Expect(fault.AnswerFor("no such kind")).To(Equal(fault.AnswerFor(fault.Internal)))
 	})
 })
--- a/coord/fault/meaning.go
+++ b/coord/fault/meaning.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// meanings tells each kind in a few words, for the operators' page.
+// meanings describes each kind for the table in docs/operators/errors.md.
 var meanings = map[Kind]string{
 	InvalidRequest:  "malformed or contradictory input",
 	TooLarge:        "header, body or answer over its limit",
@@ -33,13 +33,13 @@
 	Internal:        "a fault of our own",
 }
 
-// Table returns the kinds and their answers as a Markdown table.
+// Table returns the kinds and their answers as a Markdown table, in the order of Kinds.
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| kind | status | ran | repeatable | come back after | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, k := range kinds {
 		a := table[k]
-		fmt.Fprintf(&b, "| `%s` | %d | %s | %s | %s | %s |\n", k, a.Status, a.Ran, yesNo(a.Repeatable), hint(a), meanings[k])
+		fmt.Fprintf(&b, "| `%s` | %d | %s | %s | %s | %s |\n", k, a.Status, a.Ran, yesNo(a.Repeatable), retryHint(a), meanings[k])
 	}
 	return b.String()
 }
@@ -51,7 +51,7 @@
 	return "no"
 }
 
-func hint(a Answer) string {
+func retryHint(a Answer) string {
 	if a.RetryAfter == 0 {
 		return "-"
 	}
--- a/coord/fault/table.go
+++ b/coord/fault/table.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// defaultRetryAfter is suggested where nothing measured gives a better hint:
-// one second is above an election and a leader's lease in the default settings.
+// defaultRetryAfter is the retry delay where no measured value is available. One
+// second is longer than an election and a leader's lease with the default settings.
 const defaultRetryAfter = time.Second
 
-// statusClientClosed is the customary status for a caller who went away.
-const statusClientClosed = 499
+// statusClientClosedRequest is the non-standard status, introduced by nginx, for a
+// request whose client disconnected.
+const statusClientClosedRequest = 499
 
 var table = map[Kind]Answer{
 	InvalidRequest:  {http.StatusBadRequest, "invalid_argument", RanNo, false, 0},
@@ -34,24 +35,25 @@
 	Conflict:        {http.StatusConflict, "aborted", RanNo, false, 0},
 	NoQuorum:        {http.StatusServiceUnavailable, "unavailable", RanNo, true, defaultRetryAfter},
 	NotLeader:       {http.StatusServiceUnavailable, "unavailable", RanNo, true, 0},
-	Canceled:        {statusClientClosed, "canceled", RanUnknown, false, 0},
+	Canceled:        {statusClientClosedRequest, "canceled", RanUnknown, false, 0},
 	Unavailable:     {http.StatusServiceUnavailable, "unavailable", RanNo, true, defaultRetryAfter},
 	Internal:        {http.StatusInternalServerError, "internal", RanUnknown, false, 0},
 }
 
-// kinds keeps the order of the constants, so that generated code and documents are stable.
+// kinds lists the kinds in the order of the constants, so that generated code and
+// documentation are stable.
 var kinds = []Kind{
 	InvalidRequest, TooLarge, Unauthenticated, NotFound, Stale, RateLimited, Overloaded, NoCapacity,
 	Quarantined, NotHere, Leaving, Fenced, Expired, Timeout, TargetFailed, StreamBroken, AlreadyClaimed,
 	KeyReused, Conflict, NoQuorum, NotLeader, Canceled, Unavailable, Internal,
 }
 
-// Kinds returns every kind in a fixed order. The caller owns the slice.
+// Kinds returns all kinds in a fixed order, in a new slice.
 func Kinds() []Kind {
 	return append([]Kind(nil), kinds...)
 }
 
-// AnswerFor returns the table's row; a kind outside the list is answered as Internal.
+// AnswerFor returns the answer for k, or that for Internal if k is not a known kind.
 func AnswerFor(k Kind) Answer {
 	a, ok := table[k]
 	if !ok {
@@ -60,7 +62,7 @@
 	return a
 }
 
-// Known reports whether k is in the closed list.
+// Known reports whether k is one of Kinds.
 func Known(k Kind) bool {
 	_, ok := table[k]
 	return ok
