--- a/coord/target/adapters.go
+++ b/coord/target/adapters.go
@@ -9,16 +9,12 @@
 )
 
 // Load pattern: calls for many adapters in turn at one target, each used rarely.
-//
-// Without a cap, the agents together ask the store for more adapter loads than it
-// serves at full speed, and each takes proportionally longer. Without a rule for
-// eviction, adapters fill the memory, or one that a request needs is taken away.
-//
-// The rule: an adapter is loaded when a call needs it, inside the ledger and inside this
-// agent's share of the store's adapter loads. When it does not fit, idle adapters go,
-// the longest unused first. One that a running or waiting request needs never goes.
-
-// AdapterState is how far an adapter is.
+// Without it: too many adapter loads at the store make each proportionally slower;
+// adapters fill the memory, or one that a request needs is evicted.
+// Rule: load on demand, within the ledger and this agent's share of the store's adapter
+// loads; if memory is short, evict idle adapters only, least recently used first.
+
+// AdapterState is the load state of an adapter.
 type AdapterState int
 
 // The states of an adapter at this target.
@@ -29,74 +25,79 @@
 )
 
 type adapter struct {
-	name  string
-	model string
-	bytes int64
-	state AdapterState
-	needs int // running and waiting requests
-	used  time.Time
+	name     string
+	model    string
+	bytes    int64
+	state    AdapterState
+	refs     int // running and waiting requests that use it
+	lastUsed time.Time
 }
 
-// AdapterOrder is an order to the engine about an adapter. The answer goes to
-// AdapterLoaded or AdapterGone.
+// AdapterOrder instructs the engine to load (Load is true) or unload an adapter. The
+// engine's confirmation is passed to AdapterLoaded or AdapterGone.
 type AdapterOrder struct {
 	Load    bool
 	Adapter string
 	Model   string
 }
 
-// Adapters keeps the adapters of one target.
+// Adapters tracks the adapters of one target.
 type Adapters struct {
-	ledger   *Ledger
-	share    int // loads in flight at once
-	loading  int
-	adapters map[string]*adapter
+	ledger     *Ledger
+	maxLoading int // most loads in flight
+	loading    int
+	adapters   map[string]*adapter
 }
 
-// NewAdapters returns no adapters. Share bounds this agent's loads in flight.
-func NewAdapters(ledger *Ledger, share int) *Adapters {
-	return &Adapters{ledger: ledger, share: max(1, share), adapters: make(map[string]*adapter)}
+// NewAdapters returns an empty set of adapters whose memory is reserved in ledger.
+// At most maxLoading loads are in flight at once; values below 1 count as 1.
+func NewAdapters(ledger *Ledger, maxLoading int) *Adapters {
+	return &Adapters{ledger: ledger, maxLoading: max(1, maxLoading), adapters: make(map[string]*adapter)}
 }
 
-// ShareOf returns an agent's part of the store's adapter loads in flight.
+// ShareOf returns one agent's share of the store's limit on concurrent adapter loads,
+// at least 1.
 func ShareOf(limit, agents int) int {
 	return max(1, limit/max(1, agents))
 }
 
-// Need notes that a request needs an adapter, and is undone by Release. Ready says
-// that it can run now; else the orders go to the engine and Need is not called again
-// for this request: ask Ready after each answer. Errors: fault.NoCapacity when it does
-// not fit beside what is needed.
+// Need acquires an adapter for a request; Release returns it. If ready is true, the
+// adapter is loaded. If ready is false and err is nil, the caller sends the orders to the
+// engine, does not call Need again for this request, and checks Ready after each
+// confirmation of the engine. The error is fault.Overloaded with a retry delay while the
+// adapter is being unloaded, while all load slots are in use, or when memory is short;
+// in the last case the orders evict idle adapters and must be sent as well.
 func (s *Adapters) Need(name, model string, bytes int64, now time.Time) (ready bool, orders []AdapterOrder, err error) {
 	a, known := s.adapters[name]
 	if known && a.state != AdapterUnloading {
-		a.needs++
-		a.used = now
+		a.refs++
+		a.lastUsed = now
 		return a.state == AdapterReady, nil, nil
 	}
 	if known {
-		return false, nil, fault.After(fault.Overloaded, adapterRetry, "adapter %s is being unloaded", name)
+		return false, nil, fault.After(fault.Overloaded, adapterRetryAfter, "adapter %s is being unloaded", name)
 	}
-	if s.loading >= s.share {
-		return false, nil, fault.After(fault.Overloaded, adapterRetry, "%d adapter loads are in flight", s.loading)
+	if s.loading >= s.maxLoading {
+		return false, nil, fault.After(fault.Overloaded, adapterRetryAfter, "%d adapter loads are in flight", s.loading)
 	}
 	id := entryID("adapter/"+name, model)
 	if err := s.ledger.Reserve(id, bytes); err != nil {
-		return false, s.evict(bytes - s.ledger.Available() - s.leaving()), fault.After(fault.Overloaded, adapterRetry, "adapter %s waits for memory", name)
+		return false, s.evict(bytes - s.ledger.Available() - s.unloadingBytes()), fault.After(fault.Overloaded, adapterRetryAfter, "not enough free memory for adapter %s", name)
 	}
-	s.adapters[name] = &adapter{name: name, model: model, bytes: bytes, needs: 1, used: now}
+	s.adapters[name] = &adapter{name: name, model: model, bytes: bytes, refs: 1, lastUsed: now}
 	s.loading++
 	return false, []AdapterOrder{{Load: true, Adapter: name, Model: model}}, nil
 }
 
-// adapterRetry is above the longest adapter load at full speed.
-const adapterRetry = 20 * time.Millisecond
+// adapterRetryAfter is longer than the longest adapter load at the full speed of the store.
+const adapterRetryAfter = 20 * time.Millisecond
 
-// evict orders idle adapters out, the longest unused first, until bytes are covered.
+// evict marks idle adapters as unloading, least recently used first, until they cover
+// bytes or none is left, and returns the unload orders.
 func (s *Adapters) evict(bytes int64) []AdapterOrder {
 	var orders []AdapterOrder
 	for bytes > 0 {
-		victim := s.victim()
+		victim := s.leastRecentlyUsed()
 		if victim == nil {
 			return orders
 		}
@@ -107,8 +108,8 @@
 	return orders
 }
 
-// leaving returns the bytes that unloads under way will free.
-func (s *Adapters) leaving() int64 {
+// unloadingBytes returns the bytes that the unloads in progress will free.
+func (s *Adapters) unloadingBytes() int64 {
 	total := int64(0)
 	for _, a := range s.adapters {
 		if a.state == AdapterUnloading {
@@ -118,11 +119,13 @@
 	return total
 }
 
-func (s *Adapters) victim() *adapter {
+// leastRecentlyUsed returns the idle, loaded adapter that was used last the longest time
+// ago, or nil if there is none.
+func (s *Adapters) leastRecentlyUsed() *adapter {
 	var best *adapter
 	for _, name := range slices.Sorted(maps.Keys(s.adapters)) {
 		a := s.adapters[name]
-		if a.state == AdapterReady && a.needs == 0 && (best == nil || a.used.Before(best.used)) {
+		if a.state == AdapterReady && a.refs == 0 && (best == nil || a.lastUsed.Before(best.lastUsed)) {
 			best = a
 		}
 	}
@@ -135,15 +138,15 @@
 	return known && a.state == AdapterReady
 }
 
-// Release undoes one Need.
+// Release returns an adapter that a request acquired with Need.
 func (s *Adapters) Release(name string, now time.Time) {
-	if a, known := s.adapters[name]; known && a.needs > 0 {
-		a.needs--
-		a.used = now
+	if a, known := s.adapters[name]; known && a.refs > 0 {
+		a.refs--
+		a.lastUsed = now
 	}
 }
 
-// AdapterLoaded notes the engine's word that an adapter is loaded.
+// AdapterLoaded records the engine's confirmation that an adapter is loaded.
 func (s *Adapters) AdapterLoaded(name string) {
 	a, known := s.adapters[name]
 	if !known || a.state != AdapterLoading {
@@ -154,7 +157,8 @@
 	s.ledger.Confirm(entryID("adapter/"+name, a.model))
 }
 
-// AdapterGone notes the engine's word that nothing of an adapter is in memory.
+// AdapterGone records the engine's confirmation that no part of an adapter is in memory,
+// and frees its reservation.
 func (s *Adapters) AdapterGone(name string) {
 	a, known := s.adapters[name]
 	if !known {
--- a/coord/target/choice.go
+++ b/coord/target/choice.go
@@ -6,23 +6,25 @@
 	"cowsliptiller/coord/fair"
 )
 
-// Which waiting request starts next: see queue.go for the load pattern.
+// Selection of the next request to start. The load pattern is described in queue.go.
 
-// aloneIsDue reports whether a request that must run alone has waited for as long as
-// a usual one takes. From then on nothing else starts: others that keep starting would
-// keep it from ever running.
-func (q *Queue) aloneIsDue(now time.Time) bool {
-	if q.suspects == 0 {
+// aloneOverdue reports whether a request that must run alone has waited for at least the
+// mean service time of its band. From then on no other request is started: otherwise a
+// steady flow of requests would starve it.
+func (q *Queue) aloneOverdue(now time.Time) bool {
+	if q.waitingAlone == 0 {
 		return false
 	}
 	for _, w := range q.waiting {
-		if w.Alone && now.Sub(w.Arrived) >= q.speed.Mean(w.Band) {
+		if w.Alone && now.Sub(w.Arrived) >= q.stats.Mean(w.Band) {
 			return true
 		}
 	}
 	return false
 }
 
+// chooseAlone returns the index of the first item that must run alone and may start now,
+// or -1.
 func (q *Queue) chooseAlone(items []fair.Item) int {
 	for i, it := range items {
 		if w := q.waiting[it.ID]; w.Alone && q.fits(w.Work) {
@@ -32,8 +34,9 @@
 	return -1
 }
 
-// choose picks the first item of a workspace that may run, or one close behind it
-// whose prefix is cached when that of the first is not.
+// choose returns the index of the first item of a workspace that may start, or of a later
+// one within prefixLookahead if only the later one has a cached prefix; -1 if none may
+// start. An item that was skipped maxSkips times is not skipped again.
 func (q *Queue) choose(items []fair.Item) int {
 	first := -1
 	for i, it := range items {
@@ -41,44 +44,45 @@
 		if !q.fits(w.Work) {
 			continue
 		}
-		hot := q.prefixes.Has(w.Prefix)
+		cached := q.prefixes.Has(w.Prefix)
 		switch {
-		case first < 0 && (hot || w.passed >= maxPassed):
+		case first < 0 && (cached || w.skipped >= maxSkips):
 			return i
 		case first < 0:
 			first = i
-		case hot:
+		case cached:
 			return i
 		}
-		if i >= prefixLook {
+		if i >= prefixLookahead {
 			break
 		}
 	}
 	return first
 }
 
-// notePassed counts the turn for those of its workspace that came before a request
-// with a cached prefix and may run too. It stands apart from choose, which looks at
-// workspaces that are not served in the end.
-func (q *Queue) notePassed(next fair.Item) {
+// countSkips increments the skip count of the requests of the same workspace and band
+// that arrived before next, if next has a cached prefix. It is not part of choose because
+// choose also examines workspaces that are then not served.
+func (q *Queue) countSkips(next fair.Item) {
 	if !q.prefixes.Has(q.waiting[next.ID].Prefix) {
 		return
 	}
 	for _, w := range q.waiting {
 		if w.Workspace == next.Workspace && w.Band == next.Band && w.Arrived.Before(next.Arrived) {
-			w.passed++
+			w.skipped++
 		}
 	}
 }
 
-// fits reports whether a request may run beside what runs now.
+// fits reports whether a request may start in addition to the running ones.
 func (q *Queue) fits(w Work) bool {
 	if w.Alone {
 		return len(q.running) == 0
 	}
-	return !q.isLong(w) || q.long < max(1, int(float64(q.limit.Current())*longShare))
+	return !q.isLong(w) || q.runningLong < max(1, int(float64(q.limit.Current())*longWorkShare))
 }
 
+// isLong reports whether a request counts as long work: see longWorkFactor.
 func (q *Queue) isLong(w Work) bool {
-	return w.Band == fair.MustFinish || q.tokens > 0 && float64(w.Tokens) > longFactor*q.tokens
+	return w.Band == fair.MustFinish || q.meanTokens > 0 && float64(w.Tokens) > longWorkFactor*q.meanTokens
 }
--- a/coord/target/doc.go
+++ b/coord/target/doc.go
@@ -1,7 +1,7 @@
-// Package target is the aggregate of one target as its agent sees it: the memory
-// ledger, the replicas and their fencing numbers, adapters, the run queue, and drain.
+// Package target holds an agent's state for one target: the memory ledger, the
+// replicas and their fencing tokens, the adapters, and the run queue with its drain.
 //
-// All types are plain data without locks. The agent guards a target's ledger,
-// replicas and adapters with one mutex and its queue with another; it takes the first
-// before the second.
+// The types are not safe for concurrent use. The agent guards a target's ledger,
+// replicas and adapters with one mutex and its queue with another, and acquires the
+// first before the second.
 package target
--- a/coord/target/limit.go
+++ b/coord/target/limit.go
@@ -2,75 +2,72 @@
 
 import "time"
 
-// Load pattern: an engine that batches continuously answers each request a little later
-// with each one that joins, until it has no memory or compute left and every first
-// token is late; a target slows down for a while (heat, a neighbour on its host).
-//
-// Without a limit that follows latency, a slowed target takes as much as a healthy one
-// and all that it runs is late together.
-//
-// The rule: decrease by a tenth when the recent time to the first token is over
-// slowFactor times the best of the recent past, at most once for each such time;
-// else increase by one for each limit's worth of first tokens while the limit is
-// reached. The configured number is the least: it is the owner's measurement of full
-// speed, and the time to the first token varies with the prompt and with what of it
-// is cached by more than slowFactor, so that a lower floor closed targets that were
-// well (docs/design/order.md has the figures). Half as much again is the most. The
-// best is measured anew after bestMemory, so that a lasting change of the target
-// counts as normal by then.
+// Load pattern: continuous batching, where each added request delays the others up to
+// saturation; a target that slows down for a while (heat, other load on its host).
+// Without it: a slowed target takes as many requests as a healthy one, and all are late.
+// Rule: additive increase and multiplicative decrease on the time to first token (TTFT),
+// between the configured concurrency and maxLimitFactor times it.
 
 const (
-	slowFactor    = 2.0
-	limitDecrease = 0.9
-	limitMost     = 1.5
-	bestMemory    = 30 * time.Second
-	firstWeight   = 16 // of one first token in the moving mean: 1/firstWeight
+	slowFactor     = 2.0              // a target is slow if its recent TTFT is over slowFactor times its best
+	decreaseFactor = 0.9              // the limit decreases by a tenth
+	maxLimitFactor = 1.5              // upper bound, as a multiple of the configured concurrency
+	bestTTFTWindow = 30 * time.Second // the best TTFT is measured again after this time
+	ewmaWindow     = 16               // a sample has the weight 1/ewmaWindow in the moving means
 )
 
-// Limit is the number of requests that run at once.
-type Limit struct {
-	current float64
-	least   float64
-	most    float64
-	recent  time.Duration // moving mean
-	best    time.Duration
-	bestAt  time.Time
-	cutAt   time.Time
+// ConcurrencyLimit is the number of requests that may run at once, adapted to their TTFT.
+//
+// The lower bound is the configured concurrency, which the owner measured as full speed.
+// TTFT varies by more than slowFactor with the prompt length and the cached part of the
+// prompt, so a smaller lower bound stopped healthy targets from taking requests (figures in
+// docs/design/order.md). The best TTFT is measured again after bestTTFTWindow, so that a
+// lasting change of the target becomes the new baseline.
+type ConcurrencyLimit struct {
+	current     float64
+	minimum     float64
+	maximum     float64
+	recentTTFT  time.Duration // exponentially weighted moving mean
+	bestTTFT    time.Duration
+	bestAt      time.Time
+	decreasedAt time.Time
 }
 
-// NewLimit returns a limit that starts at the configured number.
-func NewLimit(concurrency int) *Limit {
+// NewConcurrencyLimit returns a limit that starts at the configured concurrency.
+func NewConcurrencyLimit(concurrency int) *ConcurrencyLimit {
 	n := float64(max(1, concurrency))
-	return &Limit{current: n, least: n, most: limitMost * n}
+	return &ConcurrencyLimit{current: n, minimum: n, maximum: maxLimitFactor * n}
 }
 
 // Current returns the limit, at least 1.
-func (l *Limit) Current() int { return int(l.current) }
+func (l *ConcurrencyLimit) Current() int { return int(l.current) }
 
-// Observe takes a time to the first token while running requests ran.
-func (l *Limit) Observe(first time.Duration, running int, now time.Time) {
-	if l.recent == 0 {
-		l.recent = first
+// Observe records the TTFT of a request; running is the number of running requests. It
+// decreases the limit if the recent TTFT is too high. Otherwise, while the limit is
+// reached, it adds one for each Current() observations.
+func (l *ConcurrencyLimit) Observe(ttft time.Duration, running int, now time.Time) {
+	if l.recentTTFT == 0 {
+		l.recentTTFT = ttft
 	}
-	l.recent += (first - l.recent) / firstWeight
-	if l.best == 0 || l.recent < l.best || now.Sub(l.bestAt) > bestMemory {
-		l.best, l.bestAt = l.recent, now
+	l.recentTTFT += (ttft - l.recentTTFT) / ewmaWindow
+	if l.bestTTFT == 0 || l.recentTTFT < l.bestTTFT || now.Sub(l.bestAt) > bestTTFTWindow {
+		l.bestTTFT, l.bestAt = l.recentTTFT, now
 	}
-	if float64(l.recent) > slowFactor*float64(l.best) {
+	if float64(l.recentTTFT) > slowFactor*float64(l.bestTTFT) {
 		l.decrease(now)
 		return
 	}
 	if running >= l.Current() {
-		l.current = min(l.most, l.current+1/l.current)
+		l.current = min(l.maximum, l.current+1/l.current)
 	}
 }
 
-// decrease cuts at most once for each recent latency: the effect of a cut shows
-// only after the requests that were let in before it.
-func (l *Limit) decrease(now time.Time) {
-	if now.Sub(l.cutAt) < l.recent {
+// decrease lowers the limit at most once per recent TTFT: its effect becomes visible
+// only after the requests that were started before it.
+func (l *ConcurrencyLimit) decrease(now time.Time) {
+	if now.Sub(l.decreasedAt) < l.recentTTFT {
 		return
 	}
-	l.cutAt = now
-	l.current = max(l.least, l.current*limitDecrease)
+	l.decreasedAt = now
+	l.current = max(l.minimum, l.current*decreaseFactor)
 }
--- a/coord/target/prefixes.go
+++ b/coord/target/prefixes.go
@@ -2,70 +2,69 @@
 
 import "container/list"
 
-// Load pattern: calls that share a long prompt prefix, among calls that do not.
-//
-// Without affinity the shared prefix leaves the engine's limited cache between two
-// calls that use it and is computed anew. With belief in every cache event, a late or
-// lost one sends calls after a prefix that is gone.
-//
-// The rule: a prefix counts as cached when the engine said so in an unbroken sequence of
-// events, or when a request with it began to answer here; a gap in the sequence forgets
-// everything that the engine said or did not say. The number kept is bounded.
+// Load pattern: calls that share a long prompt prefix, mixed with calls that do not.
+// Without it: the engine's cache drops the prefix between two uses and computes it again;
+// after a late or lost cache event, calls are preferred for a prefix that is not cached.
+// Rule: a prefix counts as cached after its event in a gapless sequence, or the first token
+// of a request with it; a gap clears all prefixes, and their number is bounded.
 
-// maxPrefixes is about what an engine's cache holds in prompts of some thousand tokens.
+// maxPrefixes is about the number of prompts of a few thousand tokens that an engine's
+// prefix cache holds.
 const maxPrefixes = 256
 
-// Prefixes is what is believed to be in an engine's prefix cache.
+// Prefixes estimates the content of an engine's prefix cache.
 type Prefixes struct {
-	next    uint64
-	order   list.List // newest first, of string
-	present map[string]*list.Element
+	nextSequence uint64
+	lru          list.List // prefixes, most recently used first
+	elements     map[string]*list.Element
 }
 
-// NewPrefixes returns an empty belief.
+// NewPrefixes returns an empty set of prefixes.
 func NewPrefixes() *Prefixes {
-	return &Prefixes{present: make(map[string]*list.Element)}
+	return &Prefixes{elements: make(map[string]*list.Element)}
 }
 
-// Event takes one cache event of the engine. A sequence that is not the next one
-// means that events were lost: all belief ends.
-func (p *Prefixes) Event(sequence uint64, prefix string, stored bool) {
-	if p.next != 0 && sequence != p.next {
-		p.Forget()
+// ApplyEvent applies one cache event of the engine: the prefix was stored or removed. A
+// sequence number other than the expected one means that events were lost, and clears
+// the set first.
+func (p *Prefixes) ApplyEvent(sequence uint64, prefix string, stored bool) {
+	if p.nextSequence != 0 && sequence != p.nextSequence {
+		p.Reset()
 	}
-	p.next = sequence + 1
+	p.nextSequence = sequence + 1
 	if stored {
 		p.Touch(prefix)
-	} else if e, known := p.present[prefix]; known {
-		p.order.Remove(e)
-		delete(p.present, prefix)
+	} else if e, known := p.elements[prefix]; known {
+		p.lru.Remove(e)
+		delete(p.elements, prefix)
 	}
 }
 
-// Touch notes that a request with the prefix was answered here.
+// Touch adds the prefix or marks it as most recently used. If the set is full, it removes
+// the least recently used prefix. An empty prefix is ignored.
 func (p *Prefixes) Touch(prefix string) {
 	if prefix == "" {
 		return
 	}
-	if e, known := p.present[prefix]; known {
-		p.order.MoveToFront(e)
+	if e, known := p.elements[prefix]; known {
+		p.lru.MoveToFront(e)
 		return
 	}
-	p.present[prefix] = p.order.PushFront(prefix)
-	if p.order.Len() > maxPrefixes {
-		oldest := p.order.Back()
-		delete(p.present, p.order.Remove(oldest).(string))
+	p.elements[prefix] = p.lru.PushFront(prefix)
+	if p.lru.Len() > maxPrefixes {
+		oldest := p.lru.Back()
+		delete(p.elements, p.lru.Remove(oldest).(string))
 	}
 }
 
-// Forget ends all belief, as after the engine's restart.
-func (p *Prefixes) Forget() {
-	p.order.Init()
-	clear(p.present)
+// Reset clears the set, for example after a restart of the engine.
+func (p *Prefixes) Reset() {
+	p.lru.Init()
+	clear(p.elements)
 }
 
-// Has reports whether the prefix is believed to be cached.
+// Has reports whether the prefix is assumed to be cached.
 func (p *Prefixes) Has(prefix string) bool {
-	_, known := p.present[prefix]
+	_, known := p.elements[prefix]
 	return known
 }
--- a/coord/target/queue.go
+++ b/coord/target/queue.go
@@ -9,29 +9,27 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load pattern: more requests reach a target than it runs at full speed; long work
-// among short; callers who give up while they wait; a request that must run alone.
-//
-// Without a limit on what runs, the engine's batch grows until every first token is
-// late. Without refusing at once what cannot meet its deadline, the queue holds work
-// that is thrown away later. Without cancelling, a target works for nobody. With long
-// work in every place, a short request waits for the end of a long one.
-//
-// Thresholds: see limit.go for what runs. What waits is bounded by four rounds of it in
-// each class, so that long work does not shut out short; the entry hosts hold the rest.
-// A workspace may have as many waiting as places are left free, so that one does not
-// fill the queue. Long work, four times the mean or work that only has to finish,
-// takes at most three quarters of the places: short work always finds some that
-// turn over soon.
+// Load pattern: more requests than a target runs at full speed, short and long ones mixed.
+// Without it: first tokens are late, requests wait only to miss their deadline, canceled
+// requests keep the target busy, and short requests wait for long ones.
+// Rule: bound running and waiting requests, reject at once what cannot meet its deadline,
+// run suspected requests alone, and keep slots for short work.
 
 const (
-	waitFactor = 4
-	longShare  = 0.75
-	longFactor = 4
-	// prefixLook is how many items of a workspace are looked through for one whose
-	// prefix is cached; maxPassed is how often one is passed over for that.
-	prefixLook = 8
-	maxPassed  = 4
+	// maxWaitingFactor bounds the waiting requests of each band to a multiple of the
+	// concurrency limit, so that long work does not shut out short work; the entry hosts
+	// queue the rest. A workspace may have at most as many waiting as there are free places
+	// in the band, so that one workspace does not fill the queue.
+	maxWaitingFactor = 4
+	// longWorkShare is the part of the concurrency limit that long work may use, so that
+	// short work always finds slots that become free soon. Long work is all work of
+	// fair.MustFinish and work with more than longWorkFactor times the mean tokens.
+	longWorkShare  = 0.75
+	longWorkFactor = 4
+	// prefixLookahead is how many items behind a workspace's first one are examined for a
+	// cached prefix; maxSkips is how often an item can be skipped for a later one with a cached prefix.
+	prefixLookahead = 8
+	maxSkips        = 4
 )
 
 // Work is one request at the target.
@@ -41,9 +39,9 @@
 	KeyID     string
 	Model     string
 	Band      fair.Band
-	Weight    int64 // of the workspace: its rate
-	Tokens    int64 // prompt and the most that it may generate
-	Alone     bool  // suspected to crash its target: nothing may run beside it
+	Weight    int64 // scheduling weight of the workspace: its rate
+	Tokens    int64 // prompt tokens plus the most that may be generated
+	Alone     bool  // suspected of crashing its target: no other request may run at the same time
 	Prefix    string
 	Arrived   time.Time
 	Deadline  time.Time
@@ -51,68 +49,68 @@
 
 // Queue is the run queue of one target.
 type Queue struct {
-	limit    *Limit
-	prefixes *Prefixes
-	queue    fair.Queue
-	waiting  map[string]*waitingWork
-	suspects int                        // waiting, that must run alone
-	spaces   [fair.Bands]map[string]int // waiting, by workspace
-	running  map[string]*run
-	long     int
-	alone    bool // a request that must run alone runs
-	draining bool
-	speed    fair.Speed
-	tokens   float64 // moving mean of the expected tokens of what started
+	limit              *ConcurrencyLimit
+	prefixes           *Prefixes
+	queue              fair.Queue
+	waiting            map[string]*waitingWork
+	waitingAlone       int                        // waiting requests that must run alone
+	waitingByWorkspace [fair.Bands]map[string]int // waiting requests by workspace, for each band
+	running            map[string]*runningWork
+	runningLong        int
+	runningAlone       bool // a request that must run alone is running
+	draining           bool
+	stats              fair.Speed
+	meanTokens         float64 // moving mean of Work.Tokens of the started requests
 }
 
 type waitingWork struct {
 	Work
-	passed int // how often one behind it went first for its prefix
+	skipped int // how often a later request with a cached prefix was started first
 }
 
-type run struct {
+type runningWork struct {
 	work    Work
 	long    bool
 	started time.Time
-	first   time.Duration // time to the first token; 0 until then
+	ttft    time.Duration // time to first token; 0 until then
 }
 
-// NewQueue returns an empty queue for a target that runs concurrency requests at once
-// at full speed.
+// NewQueue returns an empty queue for a target that runs up to concurrency requests at
+// once at full speed.
 func NewQueue(concurrency int) *Queue {
 	return &Queue{
-		limit:    NewLimit(concurrency),
-		prefixes: NewPrefixes(),
-		waiting:  make(map[string]*waitingWork),
-		running:  make(map[string]*run),
-		spaces:   [fair.Bands]map[string]int{{}, {}, {}},
+		limit:              NewConcurrencyLimit(concurrency),
+		prefixes:           NewPrefixes(),
+		waiting:            make(map[string]*waitingWork),
+		running:            make(map[string]*runningWork),
+		waitingByWorkspace: [fair.Bands]map[string]int{{}, {}, {}},
 	}
 }
 
-// Prefixes returns what is believed to be in the engine's prefix cache; the agent
-// feeds it the engine's events.
+// Prefixes returns the estimated content of the engine's prefix cache, to which the
+// engine's cache events are applied.
 func (q *Queue) Prefixes() *Prefixes { return q.prefixes }
 
-// Push takes a request to run or wait. Errors, all not run: fault.Leaving while
-// draining, fault.Expired past the deadline, fault.Overloaded when the queue is full or
-// the wait would pass the deadline.
+// Push adds a request to the queue. If it returns an error, the request did not run:
+// fault.Leaving while draining, fault.Expired after the deadline, fault.Overloaded if the
+// queue is full or the expected wait exceeds the deadline.
 func (q *Queue) Push(w Work, now time.Time) error {
 	switch {
 	case q.draining:
-		return fault.New(fault.Leaving, "the target takes no new work")
+		return fault.New(fault.Leaving, "the target is draining")
 	case !now.Before(w.Deadline):
-		return fault.New(fault.Expired, "the deadline passed")
-	case q.spaces[w.Band][w.Workspace] >= waitFactor*q.limit.Current()-q.queue.Waiting(w.Band):
-		return fault.After(fault.Overloaded, max(leastRetry, q.wait(w)), "%d requests wait", len(q.waiting))
+		return fault.New(fault.Expired, "the deadline passed before the request was queued at the target")
+	case q.waitingByWorkspace[w.Band][w.Workspace] >= maxWaitingFactor*q.limit.Current()-q.queue.Waiting(w.Band):
+		return fault.After(fault.Overloaded, max(minRetryAfter, q.expectedWait(w)), "%d requests wait", len(q.waiting))
 	}
-	if late := now.Add(q.wait(w)).Sub(q.latestStart(w)); late > 0 {
-		return fault.After(fault.Overloaded, max(leastRetry, late), "the wait would pass the deadline")
+	if late := now.Add(q.expectedWait(w)).Sub(q.latestStart(w)); late > 0 {
+		return fault.After(fault.Overloaded, max(minRetryAfter, late), "the wait would pass the deadline")
 	}
 	w.Tokens = max(1, w.Tokens)
 	q.waiting[w.ID] = &waitingWork{Work: w}
-	q.spaces[w.Band][w.Workspace]++
+	q.waitingByWorkspace[w.Band][w.Workspace]++
 	if w.Alone {
-		q.suspects++
+		q.waitingAlone++
 	}
 	q.queue.Push(fair.Item{
 		ID: w.ID, Workspace: w.Workspace, Band: w.Band, Weight: w.Weight,
@@ -121,99 +119,103 @@
 	return nil
 }
 
-// latestStart is when a request must run at the latest to end by its deadline.
+// latestStart returns the latest time at which a request can start and still finish by
+// its deadline.
 func (q *Queue) latestStart(w Work) time.Time {
-	return w.Deadline.Add(-q.speed.Margin(w.Band, w.Deadline.Sub(w.Arrived)))
+	return w.Deadline.Add(-q.stats.Margin(w.Band, w.Deadline.Sub(w.Arrived)))
 }
 
-// leastRetry keeps who is told to come back from doing so in a tight loop.
-const leastRetry = 10 * time.Millisecond
+// minRetryAfter is the least retry delay; it prevents clients from retrying in a tight loop.
+const minRetryAfter = 10 * time.Millisecond
 
-// wait forecasts how long a request that comes now waits.
-func (q *Queue) wait(w Work) time.Duration {
+// expectedWait estimates how long a request that arrives now waits before it starts.
+func (q *Queue) expectedWait(w Work) time.Duration {
 	if len(q.waiting) == 0 && len(q.running) < q.limit.Current() {
 		return 0
 	}
-	return q.speed.Drain(q.queue.Ahead(w.Workspace, w.Weight, w.Band))
+	return q.stats.Drain(q.queue.Ahead(w.Workspace, w.Weight, w.Band))
 }
 
-// Pop returns the request to start now, if one may. Call it until it returns none,
-// after each Push, Done, Cancel and Expire.
+// Pop returns the next request to start, or false if none may start now. It must be called
+// until it returns false after each Push, Done, Cancel and Expire.
 func (q *Queue) Pop(now time.Time) (Work, bool) {
-	if q.alone || len(q.running) >= q.limit.Current() {
+	if q.runningAlone || len(q.running) >= q.limit.Current() {
 		return Work{}, false
 	}
 	choose := q.choose
-	if q.aloneIsDue(now) {
+	if q.aloneOverdue(now) {
 		choose = q.chooseAlone
 	}
 	it, ok := q.queue.PopBy(choose)
 	if !ok {
 		return Work{}, false
 	}
-	q.notePassed(it)
-	w := q.leave(it.ID)
-	r := &run{work: w, long: q.isLong(w), started: now}
+	q.countSkips(it)
+	w := q.removeWaiting(it.ID)
+	r := &runningWork{work: w, long: q.isLong(w), started: now}
 	q.running[w.ID] = r
-	q.alone = w.Alone
+	q.runningAlone = w.Alone
 	if r.long {
-		q.long++
+		q.runningLong++
 	}
-	if q.tokens == 0 {
-		q.tokens = float64(w.Tokens)
+	if q.meanTokens == 0 {
+		q.meanTokens = float64(w.Tokens)
 	}
-	q.tokens += (float64(w.Tokens) - q.tokens) / firstWeight
+	q.meanTokens += (float64(w.Tokens) - q.meanTokens) / ewmaWindow
 	return w, true
 }
 
-// leave takes a request off the tables of what waits.
-func (q *Queue) leave(id string) Work {
+// removeWaiting removes a request from the maps and counts of waiting requests, but not
+// from q.queue.
+func (q *Queue) removeWaiting(id string) Work {
 	w := q.waiting[id].Work
 	delete(q.waiting, id)
 	if w.Alone {
-		q.suspects--
+		q.waitingAlone--
 	}
-	q.spaces[w.Band][w.Workspace]--
-	if q.spaces[w.Band][w.Workspace] == 0 {
-		delete(q.spaces[w.Band], w.Workspace)
+	q.waitingByWorkspace[w.Band][w.Workspace]--
+	if q.waitingByWorkspace[w.Band][w.Workspace] == 0 {
+		delete(q.waitingByWorkspace[w.Band], w.Workspace)
 	}
 	return w
 }
 
-// FirstToken notes the first token of a running request.
+// FirstToken records the first token of a running request.
 func (q *Queue) FirstToken(id string, now time.Time) {
 	r, known := q.running[id]
-	if !known || r.first > 0 {
+	if !known || r.ttft > 0 {
 		return
 	}
-	r.first = max(1, now.Sub(r.started))
-	q.limit.Observe(r.first, len(q.running), now)
+	r.ttft = max(1, now.Sub(r.started))
+	q.limit.Observe(r.ttft, len(q.running), now)
 	q.prefixes.Touch(r.work.Prefix)
 }
 
-// Done ends a running request that used tokens; ok says that it was answered.
+// Done records the end of a running request that used the given number of tokens; ok
+// reports whether it was answered.
 func (q *Queue) Done(id string, tokens int64, ok bool, now time.Time) {
 	r, known := q.running[id]
 	if !known {
 		return
 	}
 	delete(q.running, id)
-	q.alone = q.alone && !r.work.Alone
+	q.runningAlone = q.runningAlone && !r.work.Alone
 	if r.long {
-		q.long--
+		q.runningLong--
 	}
 	q.queue.Adjust(r.work.Workspace, r.work.Weight, r.work.Tokens, tokens)
 	if ok {
-		q.speed.Observe(r.work.Band, now.Sub(r.started))
+		q.stats.Observe(r.work.Band, now.Sub(r.started))
 	}
-	q.speed.End(now, r.work.Tokens, len(q.waiting) > 0)
+	q.stats.End(now, r.work.Tokens, len(q.waiting) > 0)
 }
 
-// Cancel takes out a request that nobody waits for. Waited says that it never ran;
-// ran says that it runs and its stream must be cancelled, after which Done is due.
+// Cancel removes a request that its client canceled, if it is waiting; then waited is true
+// and the request never ran. If it is running, ran is true: the caller must cancel its
+// stream and then call Done.
 func (q *Queue) Cancel(id string) (waited, ran bool) {
 	if _, known := q.waiting[id]; known {
-		q.leave(id)
+		q.removeWaiting(id)
 		q.queue.Remove(id)
 		return true, false
 	}
@@ -221,23 +223,23 @@
 	return false, ran
 }
 
-// Refusal is the final word on a request that waited here; it did not run.
+// Refusal is the rejection of a request that waited in the queue and did not run.
 type Refusal struct {
 	ID  string
 	Err error
 }
 
-// Expire refuses the waiting requests that cannot end by their deadline.
+// Expire rejects the waiting requests that can no longer finish by their deadline.
 func (q *Queue) Expire(now time.Time) []Refusal {
 	return q.refuse(func(w Work) error {
 		if now.Before(q.latestStart(w)) {
 			return nil
 		}
-		return fault.After(fault.Overloaded, max(leastRetry, q.wait(w)), "the deadline would pass")
+		return fault.After(fault.Overloaded, max(minRetryAfter, q.expectedWait(w)), "the request can no longer finish by its deadline")
 	})
 }
 
-// Withdraw refuses the waiting requests that came with a key that is withdrawn.
+// Withdraw rejects the waiting requests that were sent with the withdrawn key keyID.
 func (q *Queue) Withdraw(keyID string) []Refusal {
 	return q.refuse(func(w Work) error {
 		if w.KeyID != keyID {
@@ -247,10 +249,12 @@
 	})
 }
 
-func (q *Queue) refuse(verdict func(Work) error) []Refusal {
+// refuse removes the waiting requests for which check returns an error, and returns them
+// with their errors.
+func (q *Queue) refuse(check func(Work) error) []Refusal {
 	errs := make(map[string]error)
 	removed := q.queue.RemoveIf(func(it fair.Item) bool {
-		err := verdict(q.waiting[it.ID].Work)
+		err := check(q.waiting[it.ID].Work)
 		if err != nil {
 			errs[it.ID] = err
 		}
@@ -258,45 +262,45 @@
 	})
 	refusals := make([]Refusal, 0, len(removed))
 	for _, it := range removed {
-		q.leave(it.ID)
+		q.removeWaiting(it.ID)
 		refusals = append(refusals, Refusal{it.ID, errs[it.ID]})
 	}
 	return refusals
 }
 
-// Drain makes the queue refuse new work; the waiting requests are refused at once, not
-// run, so that they go elsewhere while there is time. What runs goes on.
+// Drain makes the queue reject new requests, and rejects the waiting ones at once, so that
+// they can be retried at another target before their deadline. Running requests continue.
 func (q *Queue) Drain() []Refusal {
 	q.draining = true
-	return q.refuse(func(Work) error { return fault.New(fault.Leaving, "the target takes no new work") })
+	return q.refuse(func(Work) error { return fault.New(fault.Leaving, "the target is draining") })
 }
 
-// Idle reports whether nothing runs or waits: a draining target may go.
+// Idle reports whether no request is running or waiting: a draining target can then stop.
 func (q *Queue) Idle() bool {
 	return len(q.running) == 0 && len(q.waiting) == 0
 }
 
-// Crash ends everything that ran when the target died. It returns the requests that
-// ran, in order of id.
+// Crash records a crash of the target: it ends all running requests and returns them
+// sorted by ID.
 func (q *Queue) Crash(now time.Time) []Work {
 	var ran []Work
 	for _, id := range slices.Sorted(maps.Keys(q.running)) {
 		ran = append(ran, q.running[id].work)
 		q.Done(id, 0, false, now)
 	}
-	q.prefixes.Forget()
+	q.prefixes.Reset()
 	return ran
 }
 
-// Load is what replies carry back to entry hosts.
+// Load is the load of a target, as reported to entry hosts in replies.
 type Load struct {
 	Running int
 	Queued  int
 	Limit   int
-	Service time.Duration
+	Service time.Duration // mean service time of interactive requests
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (q *Queue) Load() Load {
-	return Load{len(q.running), len(q.waiting), q.limit.Current(), q.speed.Mean(fair.Interactive)}
+	return Load{len(q.running), len(q.waiting), q.limit.Current(), q.stats.Mean(fair.Interactive)}
 }
--- a/coord/target/replicas.go
+++ b/coord/target/replicas.go
@@ -10,51 +10,51 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load pattern: decisions and counter-decisions for one model in quick succession, a
-// control host that was cut off and comes back, an agent that restarts mid-load.
-//
-// Without fencing numbers a late order undoes a newer one. Without the reconcile state
-// a restarted agent obeys an old order, or lends memory that a load from before its
-// restart is filling: many engines do not check who orders them, so the agent is the
-// fence and must know what is loaded before it lets anything through.
+// Load pattern: conflicting decisions for one model in quick succession; a partitioned
+// control host that returns; an agent that restarts during a load.
+// Without it: a late order undoes a newer one, or memory that a load fills is reserved again.
+// Rule: reject stale fencing tokens, and all orders until the loaded models are reconciled.
+// The agent must enforce this because many engines do not check who sends an order.
 
-// reconcileWait is how long after its start an agent waits out orders that its
-// earlier run may have sent and the engine has not begun: above the bound on silence
-// of a connection, so that none can arrive later.
+// reconcileWait is how long an agent waits after its start for orders that its previous
+// process may have sent and the engine has not yet begun. It is longer than a connection
+// may stay silent, so that no such order can arrive later.
 const reconcileWait = 2 * time.Second
 
-// ReplicaState is how far a replica is.
+// ReplicaState is the load state of a replica.
 type ReplicaState int
 
 // The states of a replica at its target.
 const (
-	Loading ReplicaState = iota // ordered; memory reserved
-	Ready                       // the engine confirmed it
+	Loading ReplicaState = iota // load ordered, memory reserved
+	Ready                       // the engine confirmed the load
 	Unloading
-	Stuck // the load failed; memory stays reserved until the engine confirms it gone
+	Stuck // the load failed; memory stays reserved until the engine confirms that it is free
 )
 
-// Replica is a model at this target.
+// Replica is a model version at this target. Bytes is its memory; Idle is when it last
+// became idle: at its load or at the end of a request.
 type Replica struct {
 	Model   string
 	Version string
 	Fencing uint64
 	Bytes   int64
 	State   ReplicaState
-	Running int // requests that run on it
+	Running int // running requests that use it
 	Idle    time.Time
 }
 
-// OrderKind is what the agent tells the engine.
+// OrderKind is the operation that an Order requests from the engine.
 type OrderKind int
 
-// The orders.
+// The kinds of orders.
 const (
 	OrderLoad OrderKind = iota
 	OrderUnload
 )
 
-// Order is one order to the engine. The answer goes to Loaded, Gone or LoadFailed.
+// Order instructs the engine to load or unload a model version. The engine's reply is
+// passed to Loaded, Gone or LoadFailed.
 type Order struct {
 	Kind    OrderKind
 	Model   string
@@ -62,7 +62,7 @@
 	Fencing uint64
 }
 
-// Decision is what control decided about one model at this target.
+// Decision is a decision of control to load or unload a model at this target.
 type Decision struct {
 	Model   string
 	Version string
@@ -71,72 +71,75 @@
 	Load    bool
 }
 
-// LoadedModel is what the engine says it has.
+// LoadedModel is a model that the engine reports as loaded or loading.
 type LoadedModel struct {
 	Model   string
 	Version string
-	Fencing uint64 // 0 where the engine does not tell
+	Fencing uint64 // 0 if the engine does not report it
 	Bytes   int64
 	Loading bool
 }
 
-// Replicas keeps the replicas of one target.
+// Replicas tracks the replicas of one target.
 type Replicas struct {
-	ledger   *Ledger
-	started  time.Time
-	known    bool // the engine told what is loaded
-	replicas map[string]*Replica
-	fences   map[string]uint64 // highest number seen for each model
+	ledger         *Ledger
+	started        time.Time
+	reconciled     bool // the engine's loaded models have been adopted
+	replicas       map[string]*Replica
+	highestFencing map[string]uint64 // highest fencing token seen, by model
 }
 
-// NewReplicas returns the replicas of an agent that has just started: in reconcile
-// state, in which every order is refused.
+// NewReplicas returns the replicas of an agent that started at now. They are not
+// reconciled: Decide rejects every decision until Reconcile has adopted the loaded models.
 func NewReplicas(ledger *Ledger, now time.Time) *Replicas {
-	return &Replicas{ledger: ledger, started: now, replicas: make(map[string]*Replica), fences: make(map[string]uint64)}
+	return &Replicas{ledger: ledger, started: now, replicas: make(map[string]*Replica), highestFencing: make(map[string]uint64)}
 }
 
-// Reconciled reports whether orders are obeyed.
-func (r *Replicas) Reconciled() bool { return r.known }
+// Reconciled reports whether Decide accepts decisions.
+func (r *Replicas) Reconciled() bool { return r.reconciled }
 
-// Reconcile takes the engine's list and the numbers that control holds for this
-// target. Before the wait for orders in flight is over it only learns. It returns the
-// orders to unload what nobody decided.
+// Reconcile updates the replicas from the engine's list of models and from control's
+// decided fencing tokens by model. Before reconcileWait has passed, and while a load from
+// before the restart is running, it only records the fencing tokens. It returns orders to
+// unload the models that control did not decide on.
 func (r *Replicas) Reconcile(loaded []LoadedModel, decided map[string]uint64, now time.Time) []Order {
 	for model, fencing := range decided {
-		r.fences[model] = max(r.fences[model], fencing)
+		r.highestFencing[model] = max(r.highestFencing[model], fencing)
 	}
 	for _, m := range loaded {
-		r.fences[m.Model] = max(r.fences[m.Model], m.Fencing)
+		r.highestFencing[m.Model] = max(r.highestFencing[m.Model], m.Fencing)
 	}
-	if r.known {
-		return r.compare(loaded, decided, now)
+	if r.reconciled {
+		return r.syncLoaded(loaded, decided, now)
 	}
 	if now.Sub(r.started) < reconcileWait {
 		return nil
 	}
 	for _, m := range loaded {
 		if m.Loading {
-			return nil // a load from before the restart still runs
+			return nil // a load from before the restart is still running
 		}
 	}
-	r.known = true
+	r.reconciled = true
 	return r.adopt(loaded, decided, now)
 }
 
+// adopt records all models that the engine reports, and returns the orders to unload those
+// that control did not decide on.
 func (r *Replicas) adopt(loaded []LoadedModel, decided map[string]uint64, now time.Time) []Order {
 	var orders []Order
 	for _, m := range loaded {
 		_, wanted := decided[m.Model]
-		orders = append(orders, r.adoptOne(m, wanted, now)...)
+		orders = append(orders, r.adoptModel(m, wanted, now)...)
 	}
 	return orders
 }
 
-// adoptOne enters a model that the engine has, and returns the order to unload it when
-// nobody wants it.
-func (r *Replicas) adoptOne(m LoadedModel, wanted bool, now time.Time) []Order {
+// adoptModel records a model that the engine reports, and returns the order to unload it
+// unless it is wanted.
+func (r *Replicas) adoptModel(m LoadedModel, wanted bool, now time.Time) []Order {
 	r.ledger.Adopt(entryID(m.Model, m.Version), m.Bytes)
-	rep := &Replica{Model: m.Model, Version: m.Version, Fencing: r.fences[m.Model], Bytes: m.Bytes, State: Ready, Idle: now}
+	rep := &Replica{Model: m.Model, Version: m.Version, Fencing: r.highestFencing[m.Model], Bytes: m.Bytes, State: Ready, Idle: now}
 	r.replicas[m.Model] = rep
 	if m.Loading {
 		rep.State = Loading
@@ -148,17 +151,18 @@
 	return []Order{{OrderUnload, m.Model, m.Version, rep.Fencing}}
 }
 
-// compare frees what an engine that restarted no longer has, and adopts what it has
-// without an order of this run. The latter is an order of the earlier run that arrived
-// after the wait: were it ignored, its memory would be lent a second time.
-func (r *Replicas) compare(loaded []LoadedModel, decided map[string]uint64, now time.Time) []Order {
+// syncLoaded removes replicas that the engine no longer has, as after its restart, and
+// adopts models that it has without an order of this process. Those come from an order of
+// the previous process that arrived after reconcileWait; if they were ignored, their
+// memory would be reserved a second time.
+func (r *Replicas) syncLoaded(loaded []LoadedModel, decided map[string]uint64, now time.Time) []Order {
 	has := make(map[string]bool, len(loaded))
 	var orders []Order
 	for _, m := range loaded {
 		has[m.Model] = true
 		if _, known := r.replicas[m.Model]; !known {
 			_, wanted := decided[m.Model]
-			orders = append(orders, r.adoptOne(m, wanted, now)...)
+			orders = append(orders, r.adoptModel(m, wanted, now)...)
 		}
 	}
 	for _, model := range slices.Sorted(maps.Keys(r.replicas)) {
@@ -170,18 +174,19 @@
 	return orders
 }
 
-// Decide takes a decision of control. A nil order with a nil error means that it is
-// carried out already or under way. Errors: fault.Unavailable while reconciling,
-// fault.Fenced for a number below the highest seen, fault.NoCapacity when the load does
-// not fit, fault.Overloaded while requests run on what is to be unloaded.
+// Decide applies a decision of control and returns the order for the engine. A nil order
+// with a nil error means that the decision is already carried out or in progress. Errors:
+// fault.Unavailable until reconciled, fault.Fenced for a fencing token below the highest
+// seen for the model, fault.NoCapacity if there is not enough memory for the load,
+// fault.Overloaded while requests run on the replica to unload.
 func (r *Replicas) Decide(d Decision, now time.Time) (*Order, error) {
-	if !r.known {
-		return nil, fault.New(fault.Unavailable, "the agent does not yet know what its target holds")
+	if !r.reconciled {
+		return nil, fault.New(fault.Unavailable, "the agent has not yet reconciled the models at its target")
 	}
-	if d.Fencing < r.fences[d.Model] {
-		return nil, fault.New(fault.Fenced, "order %d for %s is older than %d", d.Fencing, d.Model, r.fences[d.Model])
+	if d.Fencing < r.highestFencing[d.Model] {
+		return nil, fault.New(fault.Fenced, "fencing token %d for model %s is stale: the highest seen is %d", d.Fencing, d.Model, r.highestFencing[d.Model])
 	}
-	r.fences[d.Model] = d.Fencing
+	r.highestFencing[d.Model] = d.Fencing
 	rep, present := r.replicas[d.Model]
 	if d.Load {
 		return r.load(d, rep, present, now)
@@ -211,13 +216,14 @@
 func (r *Replicas) unload(d Decision, rep *Replica) (*Order, error) {
 	rep.Fencing = d.Fencing
 	if rep.Running > 0 {
-		return nil, fault.New(fault.Overloaded, "%d requests run on %s", rep.Running, d.Model)
+		return nil, fault.New(fault.Overloaded, "cannot unload while %d requests run on model %s", rep.Running, d.Model)
 	}
 	rep.State = Unloading
 	return &Order{OrderUnload, rep.Model, rep.Version, d.Fencing}, nil
 }
 
-// Loaded notes the engine's word that a load is done.
+// Loaded records the engine's confirmation of a load. It returns false if the load is
+// unknown, superseded or being unloaded.
 func (r *Replicas) Loaded(model, version string, now time.Time) bool {
 	rep, known := r.replicas[model]
 	if !known || rep.Version != version || rep.State == Unloading {
@@ -227,14 +233,15 @@
 	return r.ledger.Confirm(entryID(model, version))
 }
 
-// LoadFailed notes that a load broke off: the memory stays reserved until Gone.
+// LoadFailed records that a load failed. Its memory stays reserved until Gone is called.
 func (r *Replicas) LoadFailed(model, version string) {
 	if rep, known := r.replicas[model]; known && rep.Version == version {
 		rep.State = Stuck
 	}
 }
 
-// Gone notes the engine's word that nothing of a model's version is in memory.
+// Gone records the engine's confirmation that no part of a model version is in memory, and
+// frees its reservation.
 func (r *Replicas) Gone(model, version string) {
 	r.ledger.Free(entryID(model, version))
 	if rep, known := r.replicas[model]; known && rep.Version == version {
@@ -246,17 +253,18 @@
 	r.Gone(rep.Model, rep.Version)
 }
 
-// Use notes that a request starts on a model: fault.NotHere when it is not ready.
+// Use counts a request that starts on a model; Release ends it. The error is fault.NotHere
+// if the model is not ready.
 func (r *Replicas) Use(model string) error {
 	rep, known := r.replicas[model]
 	if !known || rep.State != Ready {
-		return fault.New(fault.NotHere, "%s is not loaded here", model)
+		return fault.New(fault.NotHere, "model %s is not loaded at this target", model)
 	}
 	rep.Running++
 	return nil
 }
 
-// Release notes that a request on a model has ended.
+// Release records the end of a request that was counted by Use.
 func (r *Replicas) Release(model string, now time.Time) {
 	if rep, known := r.replicas[model]; known && rep.Running > 0 {
 		rep.Running--
@@ -264,7 +272,7 @@
 	}
 }
 
-// All returns the replicas in order of model.
+// All returns copies of the replicas, sorted by model.
 func (r *Replicas) All() []Replica {
 	all := make([]Replica, 0, len(r.replicas))
 	for _, rep := range r.replicas {
@@ -274,6 +282,7 @@
 	return all
 }
 
+// entryID returns the ledger ID of a model or adapter; for an adapter, version is its model.
 func entryID(name, version string) string {
 	return fmt.Sprintf("%s@%s", name, version)
 }
--- a/coord/target/target_test.go
+++ b/coord/target/target_test.go
@@ -15,8 +15,8 @@
 	"cowsliptiller/coord/target"
 )
 
-// init gives rapid a fixed seed, so that each run has the same verdict; the flags of
-// the command line win.
+// init sets a fixed rapid seed, so that runs are reproducible. Flags on the command line
+// override it.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -29,7 +29,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// reconciled returns the replicas of an agent that knows its target, which is empty.
+// reconciled returns the replicas of an agent that has reconciled with an empty target.
 func reconciled(l *target.Ledger) (*target.Replicas, time.Time) {
 	r := target.NewReplicas(l, start)
 	now := start.Add(time.Minute)
@@ -38,9 +38,9 @@
 }
 
 var _ = Describe("replicas and memory", func() {
-	// A target runs out of memory: a load died halfway, its memory was taken for free,
-	// and the next load went on top of what the engine still held.
-	It("keeps the memory of a load that died until the engine says it is gone", func() {
+	// Guards against overcommitted memory: a failed load still occupies memory in the
+	// engine, and the next load is started as if that memory were free.
+	It("keeps the memory of a failed load reserved until the engine confirms that it is free", func() {
 		l := target.NewLedger(100, 20)
 		r, now := reconciled(l)
 		order, err := r.Decide(target.Decision{Model: "a", Version: "1", Bytes: 60, Fencing: 1, Load: true}, now)
@@ -54,8 +54,8 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// A change of version takes the memory of both; the old one serves meanwhile.
-	It("counts old and new in a change of version", func() {
+	// A version change needs memory for both versions, because the old one keeps serving.
+	It("counts the memory of both versions during a version change", func() {
 		l := target.NewLedger(100, 0)
 		r, now := reconciled(l)
 		_, _ = r.Decide(target.Decision{Model: "a", Version: "1", Bytes: 60, Fencing: 1, Load: true}, now)
@@ -66,9 +66,9 @@
 		Expect(l.Used()).To(Equal(int64(60)))
 	})
 
-	// A model comes back that was unloaded: a control host that was cut off repeats an
-	// old order, just after the agent's restart, and the engine checks nothing.
-	It("refuses an old fencing number also right after a restart", func() {
+	// Guards against loading an unloaded model again: a partitioned control host repeats
+	// an old order right after the agent's restart, and the engine checks no fencing token.
+	It("rejects a stale fencing token also right after a restart", func() {
 		r := target.NewReplicas(target.NewLedger(100, 0), start)
 		old := target.Decision{Model: "a", Version: "1", Bytes: 10, Fencing: 3, Load: true}
 		_, err := r.Decide(old, start)
@@ -78,8 +78,8 @@
 		Expect(fault.Is(err, fault.Fenced)).To(BeTrue())
 	})
 
-	// An agent restarts while its load still runs in the engine; it must not lend that
-	// memory before the load has ended.
+	// An agent restarts while a load still runs in the engine. It must not reserve memory
+	// before that load has ended.
 	It("waits for a load from before its restart", func() {
 		l := target.NewLedger(100, 0)
 		r := target.NewReplicas(l, start)
@@ -88,13 +88,13 @@
 		Expect(r.Reconciled()).To(BeFalse())
 		loading[0].Loading = false
 		orders := r.Reconcile(loading, nil, start.Add(2*time.Minute))
-		Expect(orders).To(HaveLen(1), "nobody decided it")
+		Expect(orders).To(HaveLen(1), "control did not decide on the model")
 		Expect(l.Used()).To(Equal(int64(60)))
 	})
 
-	// A target runs out of memory: an order of the agent's earlier run was held up on
-	// the way and reaches the engine after the restarted agent has looked.
-	It("adopts and unloads what comes without an order of its own", func() {
+	// Guards against overcommitted memory: a delayed order of the agent's previous process
+	// reaches the engine after the restarted agent has reconciled.
+	It("adopts and unloads a model that it did not order to load", func() {
 		l := target.NewLedger(100, 0)
 		r, now := reconciled(l)
 		orders := r.Reconcile([]target.LoadedModel{{Model: "late", Version: "1", Bytes: 60}}, nil, now)
@@ -106,12 +106,12 @@
 		Expect(l.Used()).To(BeZero())
 	})
 
-	It("never lends more memory than there is, and frees only what is confirmed", func() {
+	It("never reserves more memory than the capacity, and frees only what is confirmed", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			l := target.NewLedger(100, 20)
 			r, now := reconciled(l)
 			s := target.NewAdapters(l, 2)
-			engine := map[string]int64{} // what may be in memory: from the order until confirmed gone
+			engine := map[string]int64{} // bytes that may be in memory, from the load order until the unload is confirmed
 			fencing := uint64(0)
 			models := rapid.SampledFrom([]string{"a", "b", "c"})
 			versions := rapid.SampledFrom([]string{"1", "2"})
@@ -119,7 +119,7 @@
 			size := func(name string) int64 { return int64(20 + 7*(name[0]-'a')%31) }
 			loading := 0
 			pending := map[string]bool{}
-			take := func(orders []target.AdapterOrder) {
+			recordLoads := func(orders []target.AdapterOrder) {
 				for _, o := range orders {
 					if o.Load {
 						engine["adapter/"+o.Adapter] = 9
@@ -150,7 +150,7 @@
 				},
 				"need": func(t *rapid.T) {
 					_, orders, _ := s.Need(adapters.Draw(t, "adapter"), "a", 9, now)
-					take(orders)
+					recordLoads(orders)
 				},
 				"adapter done": func(t *rapid.T) { s.Release(adapters.Draw(t, "adapter"), now) },
 				"adapter loaded": func(t *rapid.T) {
@@ -176,18 +176,18 @@
 						total += b
 					}
 					if total > 80 || l.Used() > 80 {
-						t.Fatalf("%d bytes may be in memory, the ledger says %d, of 80", total, l.Used())
+						t.Fatalf("%d bytes may be in memory, the ledger has %d in use; the capacity is 80", total, l.Used())
 					}
 					if loading > 2 {
-						t.Fatalf("%d adapter loads in flight", loading)
+						t.Fatalf("%d adapter loads in flight, want at most 2", loading)
 					}
 				},
 			})
 		})
 	})
 
-	// A request's adapter is taken away while it runs, for another that is wanted.
-	It("evicts the adapter that is idle longest, never one that is needed", func() {
+	// Guards against evicting the adapter of a running request to make room for another.
+	It("evicts the least recently used idle adapter, never one in use", func() {
 		l := target.NewLedger(30, 0)
 		s := target.NewAdapters(l, 4)
 		for i, name := range []string{"x", "y", "z"} {
@@ -202,7 +202,7 @@
 		Expect(fault.Is(err, fault.Overloaded)).To(BeTrue())
 		Expect(orders).To(Equal([]target.AdapterOrder{{Adapter: "y", Model: "m"}}))
 		_, orders, _ = s.Need("w", "m", 10, start.Add(12*time.Second))
-		Expect(orders).To(BeEmpty(), "room is being made already")
+		Expect(orders).To(BeEmpty(), "an unload that makes enough room is already in progress")
 		s.AdapterGone("y")
 		_, orders, err = s.Need("w", "m", 10, start.Add(13*time.Second))
 		Expect(err).NotTo(HaveOccurred())
@@ -215,8 +215,8 @@
 }
 
 var _ = Describe("the run queue", func() {
-	// A suspected request crashes its neighbours: it ran beside others.
-	It("runs a suspect alone, and lets it run in the end", func() {
+	// Guards against a suspected request that crashes the target while others run there.
+	It("runs a suspected request alone, and does not starve it", func() {
 		q := target.NewQueue(4)
 		Expect(q.Push(work(1, "a", fair.Interactive, 10, start), start)).To(Succeed())
 		_, ok := q.Pop(start)
@@ -226,19 +226,19 @@
 		Expect(q.Push(suspect, start)).To(Succeed())
 		Expect(q.Push(work(3, "b", fair.Interactive, 10, start), start)).To(Succeed())
 		_, ok = q.Pop(start.Add(time.Second))
-		Expect(ok).To(BeFalse(), "others no longer start before it")
+		Expect(ok).To(BeFalse(), "no other request may start before the suspected one")
 		q.Done("1", 10, true, start.Add(time.Second))
 		w, _ := q.Pop(start.Add(time.Second))
 		Expect(w.ID).To(Equal("2"))
 		_, ok = q.Pop(start.Add(time.Second))
 		Expect(ok).To(BeFalse())
-		Expect(q.Crash(start.Add(2*time.Second))).To(HaveLen(1), "only it is to blame")
+		Expect(q.Crash(start.Add(2*time.Second))).To(HaveLen(1), "only the suspected request was running")
 		w, _ = q.Pop(start.Add(2 * time.Second))
 		Expect(w.ID).To(Equal("3"))
 	})
 
-	// A short call waits for minutes: long briefs run in every place of the target.
-	It("keeps places for short work", func() {
+	// Guards against short calls that wait for minutes because long work uses all slots.
+	It("keeps slots for short work", func() {
 		q := target.NewQueue(8)
 		for n := range 16 {
 			Expect(q.Push(work(n, "a", fair.MustFinish, 4000, start), start)).To(Succeed())
@@ -253,8 +253,8 @@
 		Expect(w.ID).To(Equal("99"))
 	})
 
-	// A leaving target goes on taking work, and its callers' calls break off with it.
-	It("refuses new and waiting work at once when it leaves, and ends what runs", func() {
+	// Guards against a draining target that still accepts requests, which fail when it stops.
+	It("rejects new and waiting requests at once while draining, and finishes running ones", func() {
 		q := target.NewQueue(1)
 		_ = q.Push(work(1, "a", fair.Interactive, 10, start), start)
 		_ = q.Push(work(2, "a", fair.Interactive, 10, start), start)
@@ -268,9 +268,9 @@
 		Expect(q.Idle()).To(BeTrue())
 	})
 
-	It("prefers a cached prefix a few times, and forgets the cache at a gap", func() {
+	It("prefers a cached prefix a limited number of times, and clears the prefixes at a sequence gap", func() {
 		q := target.NewQueue(2)
-		q.Prefixes().Event(1, "hot", true)
+		q.Prefixes().ApplyEvent(1, "hot", true)
 		for n, prefix := range []string{"cold", "hot", "hot", "cold"} {
 			w := work(n, "a", fair.Interactive, 10, start.Add(time.Duration(n)))
 			w.Prefix = prefix
@@ -279,7 +279,7 @@
 		w, _ := q.Pop(start)
 		Expect(w.ID).To(Equal("1"))
 		q.Done("1", 10, true, start)
-		q.Prefixes().Event(3, "other", true)
+		q.Prefixes().ApplyEvent(3, "other", true)
 		Expect(q.Prefixes().Has("hot")).To(BeFalse())
 		w, _ = q.Pop(start)
 		Expect(w.ID).To(Equal("0"))
@@ -300,10 +300,10 @@
 				t.Skip()
 				return ""
 			}
-			refused := func(t *rapid.T, refusals []target.Refusal) {
+			removeRefused := func(t *rapid.T, refusals []target.Refusal) {
 				for _, r := range refusals {
 					if !waiting[r.ID] || fault.From(r.Err).Ran != fault.RanNo {
-						t.Fatalf("refused %v", r)
+						t.Fatalf("unexpected refusal %v", r)
 					}
 					delete(waiting, r.ID)
 				}
@@ -324,7 +324,7 @@
 						return
 					}
 					if !waiting[w.ID] || w.Alone && len(running) > 0 {
-						t.Fatalf("started %+v beside %d", w, len(running))
+						t.Fatalf("started %+v while %d requests were running", w, len(running))
 					}
 					delete(waiting, w.ID)
 					running[w.ID] = true
@@ -338,24 +338,24 @@
 				"cancel": func(t *rapid.T) {
 					id := any(t, waiting)
 					if waited, ran := q.Cancel(id); !waited || ran {
-						t.Fatalf("cancel %s: %v %v", id, waited, ran)
+						t.Fatalf("cancel %s: waited %v, ran %v", id, waited, ran)
 					}
 					delete(waiting, id)
 				},
 				"crash": func(t *rapid.T) {
 					if got := q.Crash(now); len(got) != len(running) {
-						t.Fatalf("%d ran, want %d", len(got), len(running))
+						t.Fatalf("crash returned %d requests, want %d", len(got), len(running))
 					}
 					clear(running)
 				},
 				"advance": func(t *rapid.T) {
 					now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
-					refused(t, q.Expire(now))
+					removeRefused(t, q.Expire(now))
 				},
 				"": func(t *rapid.T) {
 					load := q.Load()
 					if load.Running != len(running) || load.Queued != len(waiting) || load.Running > 5 {
-						t.Fatalf("%+v, want %d and %d", load, len(running), len(waiting))
+						t.Fatalf("load %+v, want %d running (at most 5) and %d queued", load, len(running), len(waiting))
 					}
 				},
 			})
