--- a/coord/consensus/actions_test.go
+++ b/coord/consensus/actions_test.go
@@ -8,16 +8,17 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// Rates out of a thousand steps. Failures come in storms with quiet times
-// between them: a cluster that is always broken commits nothing worth losing.
+// Rates per 1000 steps. Phases with faults alternate with calm phases, because a
+// cluster with constant faults commits too little to check.
 const (
-	stormChange   = 2
-	stormRecovery = 10
-	quietRecovery = 40
-	maxDelivered  = 16 // messages in one step
+	faultPhaseToggleRate   = 2
+	faultPhaseRecoveryRate = 10
+	calmRecoveryRate       = 40
+	maxDelivered           = 16 // messages per step
 )
 
-// schedule is one run: all that happens follows from it. Rates are out of a thousand steps.
+// schedule holds the parameters of one run and determines it completely. Rates are per
+// 1000 steps.
 type schedule struct {
 	Seed    int64
 	Members int
@@ -33,25 +34,26 @@
 	Hand    int
 }
 
-// run plays a schedule and then lets the cluster heal. It returns what broke.
+// run runs a schedule, ends all faults and checks that the cluster recovers. The
+// violation, if any, is in the returned cluster's failure.
 func (s schedule) run() (c *cluster) {
 	c = newCluster(s.Seed, s.Members)
-	for i := 0; i < s.Steps && c.broken == ""; i++ {
-		c.act(s)
+	for i := 0; i < s.Steps && c.failure == ""; i++ {
+		c.runStep(s)
 	}
-	c.heal()
+	c.recoverAndCheck()
 	return c
 }
 
 func (c *cluster) chance(perThousand int) bool { return c.random.Intn(1000) < perThousand }
 
-// act does one step of ordinary work, and now and then lets something fail.
-func (c *cluster) act(s schedule) {
+// runStep runs one random event and, in a fault phase, possibly injects faults.
+func (c *cluster) runStep(s schedule) {
 	switch c.random.Intn(10) {
 	case 0:
-		c.passTime(time.Duration(1+c.random.Intn(10)) * time.Millisecond)
+		c.advanceTime(time.Duration(1+c.random.Intn(10)) * time.Millisecond)
 	case 1, 2:
-		c.syncSome()
+		c.completeSomeWrites()
 	case 3:
 		c.propose()
 	case 4:
@@ -59,11 +61,11 @@
 	default:
 		c.deliver(s)
 	}
-	if c.chance(stormChange) {
-		c.storm = !c.storm
+	if c.chance(faultPhaseToggleRate) {
+		c.faultPhase = !c.faultPhase
 	}
-	if c.storm {
-		c.mishap(s)
+	if c.faultPhase {
+		c.injectFaults(s)
 	}
 	c.recover()
 	if c.chance(10) {
@@ -71,7 +73,7 @@
 	}
 }
 
-func (c *cluster) mishap(s schedule) {
+func (c *cluster) injectFaults(s schedule) {
 	if c.chance(s.Crash) {
 		c.crash()
 	}
@@ -79,7 +81,7 @@
 		c.freeze()
 	}
 	if c.chance(s.Cut) {
-		c.cutOne()
+		c.partitionMember()
 	}
 	if c.chance(s.Disk) {
 		c.loseDisk()
@@ -88,52 +90,52 @@
 		c.changeMembers()
 	}
 	if c.chance(s.Hand) {
-		c.handOver()
+		c.transferLeadership()
 	}
 }
 
-// recover ends single failures, sooner in quiet times.
+// recover ends single faults; the rate is lower in a fault phase.
 func (c *cluster) recover() {
-	rate := quietRecovery
-	if c.storm {
-		rate = stormRecovery
+	rate := calmRecoveryRate
+	if c.faultPhase {
+		rate = faultPhaseRecoveryRate
 	}
 	if c.chance(rate) {
 		c.restart()
 	}
 	if c.chance(rate) {
-		c.thaw()
+		c.unfreeze()
 	}
 	if c.chance(rate / 2) {
-		c.cut = map[link]bool{}
+		c.blocked = map[link]bool{}
 	}
 }
 
-func (c *cluster) passTime(d time.Duration) {
+func (c *cluster) advanceTime(d time.Duration) {
 	c.now += d
 	for _, id := range c.ids() {
-		if m := c.members[id]; up(m) {
+		if m := c.members[id]; isRunning(m) {
 			m.raft.Tick(c.clock(m))
-			c.pump(m)
+			c.processReady(m)
 		}
 	}
 	c.checkLeases()
 }
 
 func (c *cluster) deliver(s schedule) {
-	for n := 1 + c.random.Intn(maxDelivered); n > 0 && len(c.flight) > 0; n-- {
+	for n := 1 + c.random.Intn(maxDelivered); n > 0 && len(c.inFlight) > 0; n-- {
 		i := 0
 		if c.chance(s.Reorder) {
-			i = c.random.Intn(len(c.flight))
+			i = c.random.Intn(len(c.inFlight))
 		}
-		m := c.flight[i]
+		m := c.inFlight[i]
 		if to := c.members[m.To]; to != nil && to.frozen {
-			// Waits at the frozen process: goes to the end of the line.
-			c.flight = append(append(c.flight[:i:i], c.flight[i+1:]...), m)
+			// The message waits for the frozen process: move it to the end of the queue.
+			c.inFlight = append(append(c.inFlight[:i:i], c.inFlight[i+1:]...), m)
 			continue
 		}
 		if !c.chance(s.Repeat) {
-			c.flight = append(c.flight[:i:i], c.flight[i+1:]...)
+			c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
 		}
 		if !c.chance(s.Loss) {
 			c.step(m)
@@ -141,17 +143,17 @@
 	}
 }
 
-// syncSome ends the writes of about half the members.
-func (c *cluster) syncSome() {
+// completeSomeWrites completes the writes of about half the members.
+func (c *cluster) completeSomeWrites() {
 	for _, id := range c.ids() {
-		if m := c.members[id]; up(m) && c.random.Intn(2) == 0 {
-			c.sync(m)
+		if m := c.members[id]; isRunning(m) && c.random.Intn(2) == 0 {
+			c.completeWrite(m)
 		}
 	}
 }
 
 func (c *cluster) propose() {
-	m := c.pick(leads)
+	m := c.pick(isLeader)
 	if m == nil {
 		return
 	}
@@ -163,14 +165,14 @@
 	first, term, err := m.raft.Propose(c.clock(m), batch)
 	for i := range batch {
 		if err == nil {
-			c.history.write(ticket{m.id, first + uint64(i), term}, c.nextValue-uint64(len(batch)-1-i))
+			c.history.startWrite(entryID{m.id, first + uint64(i), term}, c.nextValue-uint64(len(batch)-1-i))
 		}
 	}
-	c.pump(m)
+	c.processReady(m)
 }
 
 func (c *cluster) read() {
-	if m := c.pick(leads); m != nil {
+	if m := c.pick(isLeader); m != nil {
 		c.readAt(m)
 	}
 }
@@ -179,27 +181,27 @@
 	c.nextRead++
 	c.reads[c.nextRead] = c.maxCommit
 	if err := m.raft.ReadIndex(c.clock(m), c.nextRead); err == nil {
-		c.history.read(c.nextRead)
+		c.history.startRead(c.nextRead)
 	}
-	c.pump(m)
+	c.processReady(m)
 }
 
 func (c *cluster) compact() {
-	m := c.pick(func(m *member) bool { return up(m) && m.machine.index > 0 })
+	m := c.pick(func(m *member) bool { return isRunning(m) && m.machine.index > 0 })
 	if m == nil {
 		return
 	}
 	keep := m.machine.index - min(m.machine.index, uint64(c.random.Intn(6)))
 	if err := m.raft.Compact(m.machine.index, keep, m.machine.snapshot()); err != nil {
-		c.fail("compact: %v", err)
+		c.fail("log compaction failed: %v", err)
 	}
-	c.pump(m)
+	c.processReady(m)
 }
 
-// crash stops a member. The write that was out may or may not have reached the
-// disk; its messages were not sent in any case.
+// crash stops a member. Its outstanding write may or may not have reached the disk;
+// the messages of that write were not sent.
 func (c *cluster) crash() {
-	m := c.victim(func(m *member) bool { return m.raft != nil })
+	m := c.pickForFault(func(m *member) bool { return m.raft != nil })
 	if m == nil {
 		return
 	}
@@ -208,87 +210,88 @@
 	}
 	m.raft, m.writing, m.frozen = nil, nil, false
 	if c.random.Intn(3) == 0 {
-		c.start(m) // at once, as a supervisor does
-		c.pump(m)
+		c.start(m) // immediate restart by a supervisor
+		c.processReady(m)
 	}
 }
 
 func (c *cluster) restart() {
-	if m := c.pick(func(m *member) bool { return m.raft == nil && !m.lost }); m != nil {
+	if m := c.pick(func(m *member) bool { return m.raft == nil && !m.diskLost }); m != nil {
 		c.start(m)
-		c.pump(m)
+		c.processReady(m)
 	}
 }
 
 func (c *cluster) freeze() {
-	if m := c.victim(up); m != nil {
+	if m := c.pickForFault(isRunning); m != nil {
 		m.frozen = true
 	}
 }
 
-// thaw wakes a frozen member. Callers may be the first to reach it then.
-func (c *cluster) thaw() {
+// unfreeze resumes a frozen member. A read may reach it before its first tick.
+func (c *cluster) unfreeze() {
 	m := c.pick(func(m *member) bool { return m.frozen })
 	if m == nil {
 		return
 	}
 	m.frozen = false
-	if leads(m) && c.random.Intn(2) == 0 {
+	if isLeader(m) && c.random.Intn(2) == 0 {
 		c.readAt(m)
 	}
 }
 
-// cutOne cuts a member off, or both ways or one way between two members.
-func (c *cluster) cutOne() {
-	m := c.victim(func(m *member) bool { return !m.lost })
+// partitionMember blocks all links of a member, or one or both directions between it
+// and another member.
+func (c *cluster) partitionMember() {
+	m := c.pickForFault(func(m *member) bool { return !m.diskLost })
 	if m == nil {
 		return
 	}
 	kind := c.random.Intn(3)
 	others := c.ids()
-	one := others[c.random.Intn(len(others))]
+	peer := others[c.random.Intn(len(others))]
 	for _, other := range others {
-		if kind != 0 && other != one {
+		if kind != 0 && other != peer {
 			continue
 		}
-		c.cut[link{m.id, other}] = true
+		c.blocked[link{m.id, other}] = true
 		if kind != 1 {
-			c.cut[link{other, m.id}] = true
+			c.blocked[link{other, m.id}] = true
 		}
 	}
 }
 
-// victim is pick, but half the time a leader: it is the leader's failure that
-// puts most rules to the test.
-func (c *cluster) victim(ok func(*member) bool) *member {
+// pickForFault is pick, but prefers a leader half the time, because most rules are
+// about the failure of a leader.
+func (c *cluster) pickForFault(ok func(*member) bool) *member {
 	if c.random.Intn(2) == 0 {
-		if m := c.pick(func(m *member) bool { return leads(m) && ok(m) }); m != nil {
+		if m := c.pick(func(m *member) bool { return isLeader(m) && ok(m) }); m != nil {
 			return m
 		}
 	}
 	return c.pick(ok)
 }
 
-// loseDisk ends a member for good where the others keep a quorum in whatever
-// membership any of them holds: beyond that nothing can be promised.
+// loseDisk removes a member permanently if the others keep a quorum in every membership
+// that one of them holds; without a quorum the protocol guarantees nothing.
 func (c *cluster) loseDisk() {
-	m := c.pick(func(m *member) bool { return !m.lost && c.keepsQuorumWithout(m.id) })
+	m := c.pick(func(m *member) bool { return !m.diskLost && c.keepsQuorumWithout(m.id) })
 	if m == nil {
 		return
 	}
-	m.raft, m.writing, m.frozen, m.lost = nil, nil, false, true
+	m.raft, m.writing, m.frozen, m.diskLost = nil, nil, false, true
 }
 
 func (c *cluster) keepsQuorumWithout(id uint64) bool {
 	for _, holder := range c.members {
-		if holder.raft == nil && !holder.lost {
-			return false // what it holds shows when it is up
+		if holder.raft == nil && !holder.diskLost {
+			return false // its membership is unknown while it is down
 		}
-		if holder.lost {
+		if holder.diskLost {
 			continue
 		}
 		members := holder.raft.Status().Members
-		// A learner may be promoted just before its loss is noticed.
+		// A learner may be promoted just before its loss is detected.
 		if !c.quorumLeft(members, id, false) || !c.quorumLeft(members, id, true) {
 			return false
 		}
@@ -303,24 +306,24 @@
 			continue
 		}
 		voters++
-		if m.Id != without && !c.members[m.Id].lost {
+		if m.Id != without && !c.members[m.Id].diskLost {
 			left++
 		}
 	}
 	return voters == 0 || left > voters/2
 }
 
-// changeMembers replaces a lost member, or adds or removes one.
+// changeMembers removes a member with a lost disk, or else adds or removes a member.
 func (c *cluster) changeMembers() {
-	leader := c.pick(leads)
+	leader := c.pick(isLeader)
 	if leader == nil {
 		return
 	}
 	members := leader.raft.Status().Members
 	for _, m := range members {
-		if c.members[m.Id].lost {
+		if c.members[m.Id].diskLost {
 			_, _, _ = leader.raft.Remove(c.clock(leader), m.Id)
-			c.pump(leader)
+			c.processReady(leader)
 			return
 		}
 	}
@@ -328,83 +331,83 @@
 		if _, _, err := leader.raft.AddLearner(c.clock(leader), &coordpb.Member{Id: c.nextID + 1}); err == nil {
 			c.add(consensus.Bootstrap(nil))
 		}
-		c.pump(leader)
+		c.processReady(leader)
 		return
 	}
-	if len(members) > 3 && c.noneLost() {
+	if len(members) > 3 && c.noDiskLost() {
 		_, _, _ = leader.raft.Remove(c.clock(leader), members[c.random.Intn(len(members))].Id)
-		c.pump(leader)
+		c.processReady(leader)
 	}
 }
 
-func (c *cluster) noneLost() bool {
+func (c *cluster) noDiskLost() bool {
 	for _, m := range c.members {
-		if m.lost {
+		if m.diskLost {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *cluster) handOver() {
-	m := c.pick(leads)
+func (c *cluster) transferLeadership() {
+	m := c.pick(isLeader)
 	if m == nil {
 		return
 	}
 	if to := m.raft.BestSuccessor(); to != 0 {
 		_ = m.raft.Transfer(c.clock(m), to)
-		c.pump(m)
+		c.processReady(m)
 	}
 }
 
-// heal ends all failures and checks that the cluster commits again, and that
-// every member that belongs to it ends with the same state.
-func (c *cluster) heal() {
-	c.cut = map[link]bool{}
+// recoverAndCheck ends all faults and checks that the cluster commits again and that all
+// its members reach the same state.
+func (c *cluster) recoverAndCheck() {
+	c.blocked = map[link]bool{}
 	for _, id := range c.ids() {
 		m := c.members[id]
 		m.frozen = false
-		if m.raft == nil && !m.lost && c.broken == "" {
+		if m.raft == nil && !m.diskLost && c.failure == "" {
 			c.start(m)
-			c.pump(m)
+			c.processReady(m)
 		}
 	}
 	const rounds = 1500
-	goal := uint64(0)
-	for i := 0; i < rounds && c.broken == ""; i++ {
-		c.passTime(2 * time.Millisecond)
+	goalIndex := uint64(0)
+	for i := 0; i < rounds && c.failure == ""; i++ {
+		c.advanceTime(2 * time.Millisecond)
 		for _, id := range c.ids() {
-			c.sync(c.members[id])
+			c.completeWrite(c.members[id])
 		}
 		c.deliverAll()
-		if leader := c.pick(leads); leader != nil && i > rounds/10 && goal == 0 {
+		if leader := c.pick(isLeader); leader != nil && i > rounds/10 && goalIndex == 0 {
 			c.propose()
-			goal = leader.raft.Status().Last
+			goalIndex = leader.raft.Status().Last
 		}
-		if goal != 0 && c.settled(goal) {
+		if goalIndex != 0 && c.hasConverged(goalIndex) {
 			return
 		}
 	}
-	if c.broken == "" {
-		c.fail("the cluster does not commit and agree again after all failures ended (goal %d)", goal)
+	if c.failure == "" {
+		c.fail("the cluster did not commit and converge after all faults ended (goal: index %d)", goalIndex)
 	}
 }
 
 func (c *cluster) deliverAll() {
-	for n := len(c.flight); n > 0 && len(c.flight) > 0; n-- {
-		m := c.flight[0]
-		c.flight = c.flight[1:]
+	for n := len(c.inFlight); n > 0 && len(c.inFlight) > 0; n-- {
+		m := c.inFlight[0]
+		c.inFlight = c.inFlight[1:]
 		c.step(m)
 	}
 }
 
-func (c *cluster) settled(goal uint64) bool {
-	leader := c.pick(leads)
+func (c *cluster) hasConverged(goal uint64) bool {
+	leader := c.pick(isLeader)
 	if leader == nil || leader.machine.index < goal {
 		return false
 	}
 	for _, m := range leader.raft.Status().Members {
-		if other := c.members[m.Id]; !other.lost && other.machine.index < goal {
+		if other := c.members[m.Id]; !other.diskLost && other.machine.index < goal {
 			return false
 		}
 	}
--- a/coord/consensus/config.go
+++ b/coord/consensus/config.go
@@ -8,20 +8,21 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Config is what a member is started with.
+// Config configures a member.
 type Config struct {
-	ID uint64 // never 0, never used again after its disk is lost
-	// ElectionTimeout is the least time without a leader's word before a member
-	// stands for election; the real one is drawn from [1, 2) of it (paper 5.2).
-	// Members of one group use the same value: leases rest on it.
+	ID uint64 // not 0; must not be reused after the member's disk is lost
+	// ElectionTimeout is the minimum time without leader contact before a member
+	// starts an election; the actual timeout is random in [1, 2) times this value
+	// (paper 5.2). All members of a group must use the same value, because leader
+	// leases depend on it.
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the time between a leader's heartbeats.
 	HeartbeatInterval time.Duration
-	MaxAppendBytes    int // bytes of entries in one message; one entry may exceed it
-	MaxInflight       int // unacknowledged append messages to one member
-	MaxInflightBytes  int // of entries in them; one message may exceed it
-	ChunkBytes        int // bytes of a snapshot in one message
-	// LinkBytesPerSecond is what the narrowest link between members carries.
+	MaxAppendBytes    int // bytes of entries per append message; a single larger entry is still sent
+	MaxInflight       int // unacknowledged append messages per member
+	MaxInflightBytes  int // bytes of entries in those messages; the last one may exceed the limit
+	ChunkBytes        int // bytes of snapshot data per message
+	// LinkBytesPerSecond is the bandwidth of the slowest link between members.
 	LinkBytesPerSecond int
 	Random             *rand.Rand
 }
@@ -30,31 +31,32 @@
 const (
 	DefaultMaxAppendBytes = 256 << 10
 	DefaultMaxInflight    = 32
-	// DefaultMaxInflightBytes bounds what a member that has lagged behind takes of the
-	// leader's link at once.
+	// DefaultMaxInflightBytes limits how much of the leader's link a lagging member
+	// takes at once.
 	DefaultMaxInflightBytes = 512 << 10
 	DefaultChunkBytes       = 256 << 10
-	// DefaultLinkBytesPerSecond is a link of 10 Mbit/s.
+	// DefaultLinkBytesPerSecond corresponds to a link of about 10 Mbit/s.
 	DefaultLinkBytesPerSecond = 1 << 20
 )
 
-// The leader's lease is leaseNumerator/leaseDenominator of the election timeout,
-// counted from the sending of the heartbeat that a quorum has answered. The rest
-// is the margin for clocks that run at different rates (thesis 6.4.1).
+// The leader's lease lasts leaseNumerator/leaseDenominator of the election timeout
+// from the time the heartbeat acknowledged by a quorum was sent. The remainder is
+// the margin for clock drift between members (thesis 6.4.1).
 const (
 	leaseNumerator   = 3
 	leaseDenominator = 4
 )
 
-// Durable is what a member finds in its data folder when it starts.
+// Durable is the persisted state that a member reads from its data folder at start.
 type Durable struct {
 	HardState *coordpb.HardState
-	Snapshot  *coordpb.Snapshot // never nil; index 0 with the first members in a new group
-	Entries   []*coordpb.Entry  // contiguous; may begin before the snapshot's index
+	Snapshot  *coordpb.Snapshot // never nil; in a new group it has index 0 and the initial members
+	Entries   []*coordpb.Entry  // contiguous; may start before the snapshot's index
 }
 
-// Bootstrap returns the state of a member of a new group. A member that joins a
-// running group is started with no members and learns them from the leader.
+// Bootstrap returns the initial state of a member of a new group. A member that
+// joins a running group starts with no members and receives the membership from
+// the leader.
 func Bootstrap(members []*coordpb.Member) Durable {
 	meta := &coordpb.SnapshotMeta{Membership: &coordpb.Membership{Members: members}}
 	return Durable{HardState: &coordpb.HardState{}, Snapshot: &coordpb.Snapshot{Meta: meta}}
@@ -62,13 +64,13 @@
 
 func (c *Config) check() error {
 	if c.ID == 0 {
-		return fault.New(fault.InvalidRequest, "consensus: member id 0 is not allowed")
+		return fault.New(fault.InvalidRequest, "consensus: member id must not be 0")
 	}
 	if c.HeartbeatInterval <= 0 || c.ElectionTimeout < 2*c.HeartbeatInterval {
 		return fault.New(fault.InvalidRequest, "consensus: election timeout %v must be at least twice the heartbeat interval %v", c.ElectionTimeout, c.HeartbeatInterval)
 	}
 	if c.Random == nil {
-		return fault.New(fault.InvalidRequest, "consensus: no random source")
+		return fault.New(fault.InvalidRequest, "consensus: Config.Random is not set")
 	}
 	if c.MaxAppendBytes <= 0 {
 		c.MaxAppendBytes = DefaultMaxAppendBytes
--- a/coord/consensus/consensus_test.go
+++ b/coord/consensus/consensus_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes rapid's seed, so that a check ends the same each time. Other
-// schedules: go test ./consensus -run Schedules -rapid.seed=N -rapid.checks=M
+// TestMain fixes rapid's seed to make runs reproducible. For other schedules:
+// go test ./consensus -run Schedules -rapid.seed=N -rapid.checks=M
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
@@ -27,18 +27,19 @@
 	RunSpecs(t, "consensus")
 }
 
-// TestSchedules plays random schedules of everything that fails, at once.
+// TestSchedules runs random schedules in which all kinds of faults are combined.
 func TestSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSchedule(t, 6000)
-		if c := s.run(); c.broken != "" {
-			t.Fatalf("%s\nschedule: %#v", c.broken, s)
+		if c := s.run(); c.failure != "" {
+			t.Fatalf("%s\nschedule: %#v", c.failure, s)
 		}
 	})
 }
 
-// kept are schedules that found a removed guard. They must pass.
-var kept = map[string]schedule{
+// regressionSchedules are schedules that failed when the named rule was broken. They
+// must pass.
+var regressionSchedules = map[string]schedule{
 	"acknowledgement before the sync": {Seed: 22, Members: 5, Steps: 6000, Loss: 98, Reorder: 240, Crash: 11, Freeze: 4, Cut: 18, Disk: 1, Change: 43, Hand: 1},
 	"lease too long":                  {Seed: 31, Members: 5, Steps: 4284, Loss: 87, Repeat: 81, Reorder: 20, Freeze: 10, Cut: 5, Disk: 1, Change: 10},
 	"read before the first commit":    {Seed: 0, Members: 5, Steps: 4027, Loss: 104, Repeat: 3, Reorder: 272, Crash: 1, Freeze: 4, Cut: 2, Disk: 5, Change: 28, Hand: 4},
@@ -47,16 +48,16 @@
 	"lease kept in a handover":        {Seed: 15, Members: 3, Steps: 5451, Loss: 3, Repeat: 11, Reorder: 35, Crash: 3, Freeze: 6, Cut: 2, Change: 28, Hand: 10},
 	"lease renewed in a handover":     {Seed: 2, Members: 5, Steps: 3136, Repeat: 6, Reorder: 61, Crash: 1, Freeze: 6, Cut: 6, Disk: 2, Hand: 7},
 	"no election restriction":         {Seed: 1041, Members: 3, Steps: 3551, Loss: 1, Repeat: 57, Reorder: 556, Crash: 3, Freeze: 16, Cut: 3, Disk: 4, Change: 1, Hand: 1},
-	"vote forgotten":                  {Seed: 0, Members: 3, Steps: 100},
+	"vote not persisted":              {Seed: 0, Members: 3, Steps: 100},
 	"own unsynced entries counted":    {Seed: 3, Members: 5, Steps: 1051, Repeat: 18, Reorder: 10, Crash: 23, Freeze: 11, Cut: 1, Disk: 3, Change: 50},
-	"promise ended by anybody":        {Seed: 161863, Members: 3, Steps: 817, Loss: 48, Repeat: 6, Reorder: 43, Crash: 6, Freeze: 24, Cut: 3, Change: 4, Hand: 4},
+	"stickiness ended by any member":  {Seed: 161863, Members: 3, Steps: 817, Loss: 48, Repeat: 6, Reorder: 43, Crash: 6, Freeze: 24, Cut: 3, Change: 4, Hand: 4},
 	"truncation without a conflict":   {Seed: 17, Members: 3, Steps: 3551, Loss: 1, Repeat: 57, Reorder: 556, Crash: 3, Freeze: 16, Cut: 3, Disk: 4, Change: 1, Hand: 1},
 }
 
 func TestKeptSchedules(t *testing.T) {
-	for name, s := range kept {
-		if c := s.run(); c.broken != "" {
-			t.Errorf("%s: %s", name, c.broken)
+	for name, s := range regressionSchedules {
+		if c := s.run(); c.failure != "" {
+			t.Errorf("%s: %s", name, c.failure)
 		}
 	}
 }
--- a/coord/consensus/election.go
+++ b/coord/consensus/election.go
@@ -6,70 +6,72 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// campaign starts the trial election, which raises no term.
+// startPreVote asks the voters whether they would vote for this member, without
+// raising the term.
 //
-// Pre-vote guards against a member that was cut off: without it the member
-// raises its term alone, and on its return deposes a leader that serves well.
-// Callers see an election, that is a pause, each time. Holds because the others
-// refuse a trial while they hear their leader (thesis 9.6).
-func (r *Raft) campaign() {
+// Without pre-vote, a partitioned member raises its term on its own and deposes a
+// working leader when it reconnects; callers see an election, that is a pause, each
+// time. The other members reject pre-votes while they are in contact with their
+// leader (thesis 9.6).
+func (r *Raft) startPreVote() {
 	if !r.isVoter(r.config.ID) {
-		r.resetDeadline()
+		r.resetElectionDeadline()
 		return
 	}
 	r.becomeFollower(r.term, 0)
 	r.role = PreCandidate
 	r.votes = map[uint64]bool{r.config.ID: true}
-	if r.won() {
-		r.stand(false)
+	if r.hasVoteQuorum() {
+		r.becomeCandidate(false)
 		return
 	}
-	r.ask(coordpb.MessageKind_MESSAGE_KIND_PRE_VOTE, r.term+1, false)
-	r.repeatTrialSoon()
+	r.requestVotes(coordpb.MessageKind_MESSAGE_KIND_PRE_VOTE, r.term+1, false)
+	r.schedulePreVoteRetry()
 }
 
-// trialShare: a trial that is not won is repeated after between one and two of so many
-// parts of the election timeout.
-const trialShare = 4
+// preVoteRetryDivisor sets the delay before an unsuccessful pre-vote is repeated:
+// one to two times the election timeout divided by this value.
+const preVoteRetryDivisor = 4
 
-// repeatTrialSoon guards against a pause after all members have started together: the
-// others refuse a trial for an election timeout from their start, and the first one to
-// ask would ask again only a whole timeout after that. A trial raises no term and
-// disturbs no leader, so that it may be repeated as often as messages cost little.
-// With eight members that start within half a timeout it took 1.05 s until one led, of a
-// timeout of 0.6 s.
-func (r *Raft) repeatTrialSoon() {
-	part := r.config.ElectionTimeout / trialShare
-	r.deadline = r.now + part + time.Duration(r.config.Random.Int63n(int64(part)))
+// schedulePreVoteRetry repeats a pre-vote before a full election timeout has passed.
+// When all members start together, each rejects votes for an election timeout from
+// its start, and the first one to ask would ask again only a full timeout later. A
+// pre-vote raises no term and deposes no leader, so a repetition costs only messages.
+// Without it, eight members that started within half a timeout of 0.6 s took 1.05 s to
+// elect a leader.
+func (r *Raft) schedulePreVoteRetry() {
+	minDelay := r.config.ElectionTimeout / preVoteRetryDivisor
+	r.electionDeadline = r.now + minDelay + time.Duration(r.config.Random.Int63n(int64(minDelay)))
 }
 
-// stand makes the member a candidate in the next term (paper 5.2). Its own vote
-// counts once it is synced: see Written.
-func (r *Raft) stand(transfer bool) {
+// becomeCandidate starts an election in the next term (paper 5.2). The member's own
+// vote counts once it is synced: see Written.
+func (r *Raft) becomeCandidate(transfer bool) {
 	r.becomeFollower(r.term+1, 0)
 	r.role = Candidate
 	r.vote = r.config.ID
 	r.votes = map[uint64]bool{}
-	r.ask(coordpb.MessageKind_MESSAGE_KIND_VOTE, r.term, transfer)
+	r.requestVotes(coordpb.MessageKind_MESSAGE_KIND_VOTE, r.term, transfer)
 }
 
-func (r *Raft) ask(kind coordpb.MessageKind, term uint64, transfer bool) {
+func (r *Raft) requestVotes(kind coordpb.MessageKind, term uint64, transfer bool) {
 	for _, m := range r.log.membership().members {
 		if m.Id == r.config.ID || m.Learner {
 			continue
 		}
-		r.promise(&coordpb.Message{
+		r.sendAfterSync(&coordpb.Message{
 			Kind: kind, To: m.Id, Term: term,
 			LogIndex: r.log.last(), LogTerm: r.log.lastTerm(), LeaderTransfer: transfer,
 		})
 	}
 }
 
-// keepsPromise reports whether a request for a vote must be ignored because this
+// ignoresVoteRequest reports whether a vote request must be ignored because this
 // member acknowledged a leader less than an election timeout ago. The leader's
-// lease and the peace of a serving group rest on it (thesis 4.2.3 and 6.4.1). A
-// vote asked for on the leader's own word passes: that leader gave up its lease.
-func (r *Raft) keepsPromise(m *coordpb.Message) bool {
+// lease and the stability of a working group depend on it (thesis 4.2.3 and 6.4.1).
+// Requests sent on the leader's TIMEOUT_NOW are let through: that leader has given
+// up its lease.
+func (r *Raft) ignoresVoteRequest(m *coordpb.Message) bool {
 	switch m.Kind {
 	case coordpb.MessageKind_MESSAGE_KIND_PRE_VOTE, coordpb.MessageKind_MESSAGE_KIND_VOTE:
 	default:
@@ -78,29 +80,29 @@
 	if m.LeaderTransfer {
 		return false
 	}
-	if r.promised.endedBy(m) {
-		r.promised.ended = true
+	if r.stickiness.endedBy(m) {
+		r.stickiness.ended = true
 	}
-	return r.role == Leader || !r.promised.ended && r.now-r.heard < r.config.ElectionTimeout
+	return r.role == Leader || !r.stickiness.ended && r.now-r.leaderContact < r.config.ElectionTimeout
 }
 
 func (r *Raft) handlePreVote(m *coordpb.Message) {
-	grant := m.Term > r.term && r.log.upToDate(m.LogIndex, m.LogTerm)
+	grant := m.Term > r.term && r.log.isUpToDate(m.LogIndex, m.LogTerm)
 	reply := &coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, To: m.From, Reject: !grant}
 	if grant {
 		reply.Term = m.Term
 	}
-	r.promise(reply)
+	r.sendAfterSync(reply)
 }
 
 func (r *Raft) handleVote(m *coordpb.Message) {
-	free := r.vote == m.From || (r.vote == 0 && r.leader == 0)
-	grant := free && r.log.upToDate(m.LogIndex, m.LogTerm)
+	canVote := r.vote == m.From || (r.vote == 0 && r.leader == 0)
+	grant := canVote && r.log.isUpToDate(m.LogIndex, m.LogTerm)
 	if grant {
 		r.vote = m.From
-		r.resetDeadline()
+		r.resetElectionDeadline()
 	}
-	r.promise(&coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_VOTE_REPLY, To: m.From, Reject: !grant})
+	r.sendAfterSync(&coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_VOTE_REPLY, To: m.From, Reject: !grant})
 }
 
 func (r *Raft) handleVoteReply(m *coordpb.Message) {
@@ -118,22 +120,22 @@
 }
 
 func (r *Raft) countVotes() {
-	if !r.won() {
+	if !r.hasVoteQuorum() {
 		return
 	}
 	if r.role == PreCandidate {
-		r.stand(false)
+		r.becomeCandidate(false)
 		return
 	}
 	r.becomeLeader()
 }
 
-// handleTimeoutNow stands at once on the leader's word (thesis 3.10).
+// handleTimeoutNow starts an election at once at the leader's request (thesis 3.10).
 func (r *Raft) handleTimeoutNow(m *coordpb.Message) {
 	if r.role == Leader || r.leader != m.From || !r.isVoter(r.config.ID) {
 		return
 	}
-	r.stand(true)
+	r.becomeCandidate(true)
 }
 
 func (r *Raft) isVoter(id uint64) bool {
@@ -145,7 +147,9 @@
 	return false
 }
 
-func (r *Raft) won() bool {
+// hasVoteQuorum reports whether a majority of voters has granted this member's
+// request.
+func (r *Raft) hasVoteQuorum() bool {
 	voters, granted := 0, 0
 	for _, m := range r.log.membership().members {
 		if m.Learner {
--- a/coord/consensus/follower.go
+++ b/coord/consensus/follower.go
@@ -5,40 +5,40 @@
 	"cowsliptiller/coord/fault"
 )
 
-// hear notes the word of this term's leader.
-func (r *Raft) hear(leader uint64) error {
+// recordLeaderContact records a message from the leader of the current term.
+func (r *Raft) recordLeaderContact(leader uint64) error {
 	if r.role == Leader {
-		return fault.New(fault.Internal, "consensus: members %d and %d both lead term %d", r.config.ID, leader, r.term)
+		return fault.New(fault.Internal, "consensus: members %d and %d are both leaders of term %d", r.config.ID, leader, r.term)
 	}
 	if r.role != Follower || r.leader != leader {
 		r.becomeFollower(r.term, leader)
 	}
-	r.heard, r.promised = r.now, promise{leader: leader, term: r.term}
-	r.resetDeadline()
+	r.leaderContact, r.stickiness = r.now, leaderStickiness{leader: leader, term: r.term}
+	r.resetElectionDeadline()
 	return nil
 }
 
 func (r *Raft) handleAppend(m *coordpb.Message) error {
-	if err := r.hear(m.From); err != nil {
+	if err := r.recordLeaderContact(m.From); err != nil {
 		return err
 	}
 	if m.LogIndex < r.log.commit {
-		// What is committed agrees with every leader's log.
+		// Committed entries match the log of every later leader.
 		return r.acceptAppend(m, r.log.commit)
 	}
 	if term, held := r.log.term(m.LogIndex); !held || term != m.LogTerm {
-		r.promise(&coordpb.Message{
+		r.sendAfterSync(&coordpb.Message{
 			Kind: coordpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: m.From, Reject: true,
-			LogIndex: m.LogIndex, HintIndex: r.log.agreeBefore(m.LogIndex),
+			LogIndex: m.LogIndex, HintIndex: r.log.rejectionHint(m.LogIndex),
 		})
 		return nil
 	}
 	return r.acceptAppend(m, m.LogIndex)
 }
 
-// acceptAppend takes the message's entries after an index up to which the logs
-// agree. Only a conflicting entry truncates: a delayed message that is a prefix
-// of what came since must not drop entries already promised (paper 5.3).
+// acceptAppend appends the message's entries after agreed, up to which the logs
+// match. Only a conflicting entry truncates the log: a delayed message that is a
+// prefix of later ones must not remove acknowledged entries (paper 5.3).
 func (r *Raft) acceptAppend(m *coordpb.Message, agreed uint64) error {
 	for i, e := range m.Entries {
 		if e.Index <= agreed {
@@ -60,7 +60,7 @@
 		break
 	}
 	r.commitTo(min(m.Commit, agreed))
-	r.promise(&coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: m.From, LogIndex: agreed})
+	r.sendAfterSync(&coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: m.From, LogIndex: agreed})
 	return nil
 }
 
@@ -69,16 +69,17 @@
 }
 
 func (r *Raft) handleHeartbeat(m *coordpb.Message) error {
-	if err := r.hear(m.From); err != nil {
+	if err := r.recordLeaderContact(m.From); err != nil {
 		return err
 	}
 	r.commitTo(m.Commit)
 	reply := &coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_HEARTBEAT_REPLY, To: m.From, ReadContext: m.ReadContext}
 	if r.persisted.Term == r.term {
-		// Nothing unsynced is promised, so a slow disk does not cost the leader its lease.
+		// The reply reports no unsynced state. Sending it at once keeps a slow disk here
+		// from letting the leader's lease expire.
 		r.send(reply)
 		return nil
 	}
-	r.promise(reply)
+	r.sendAfterSync(reply)
 	return nil
 }
--- a/coord/consensus/leader.go
+++ b/coord/consensus/leader.go
@@ -7,19 +7,19 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// leadership is what only a leader holds.
-type leadership struct {
-	progress  map[uint64]*progress // every other member
-	firstOwn  uint64               // index of the empty entry of this term
-	round     uint64               // newest heartbeat round
-	roundSent []sentRound          // rounds that no quorum has answered yet, oldest first
-	contact   time.Duration        // when the newest round that a quorum answered was sent
-	lease     time.Duration        // this member may act as leader before this time
-	beat      time.Duration        // when the next heartbeat is due
-
-	pending    []pendingRead
-	transferee uint64
-	transferBy time.Duration
+// leaderState is the volatile state of a leader; it is empty in other roles.
+type leaderState struct {
+	progress      map[uint64]*progress // by id of the other members
+	termStart     uint64               // index of the empty entry that starts this term
+	round         uint64               // latest heartbeat round
+	unackedRounds []sentRound          // rounds not yet acknowledged by a quorum, oldest first
+	quorumContact time.Duration        // when the latest round acknowledged by a quorum was sent
+	leaseUntil    time.Duration        // end of the lease
+	nextHeartbeat time.Duration        // when the next heartbeat round is due
+
+	pendingReads     []pendingRead
+	transferee       uint64
+	transferDeadline time.Duration
 }
 
 type sentRound struct {
@@ -29,104 +29,107 @@
 
 func (r *Raft) becomeLeader() {
 	r.role, r.leader, r.votes = Leader, r.config.ID, nil
-	r.lead = leadership{progress: map[uint64]*progress{}, firstOwn: r.log.last() + 1, contact: r.now}
-	r.followMembership()
-	// An entry of its own term lets the leader commit what earlier leaders left
-	// (paper 5.4.2 and 8).
-	empty := &coordpb.Entry{Index: r.lead.firstOwn, Term: r.term, Kind: coordpb.EntryKind_ENTRY_KIND_EMPTY}
+	r.leaderState = leaderState{progress: map[uint64]*progress{}, termStart: r.log.last() + 1, quorumContact: r.now}
+	r.updateProgress()
+	// A leader can commit entries of earlier terms only together with one of its own
+	// term (paper 5.4.2 and 8).
+	empty := &coordpb.Entry{Index: r.leaderState.termStart, Term: r.term, Kind: coordpb.EntryKind_ENTRY_KIND_EMPTY}
 	_ = r.log.append(empty)
 	r.replicate()
 	r.heartbeat()
 }
 
-// stalledTimeouts is how many election timeouts a leader's write may take. Two
-// seconds with the default settings: a busy disk's pauses are shorter, and giving
-// up on those would trade a short wait for an election.
-const stalledTimeouts = 4
+// writeStallTimeouts is how many election timeouts a leader's write may take: 2 s
+// with the default settings. Pauses of a busy disk are shorter, and stepping down on
+// those would replace a short wait by an election.
+const writeStallTimeouts = 4
 
-// tickLeader sends heartbeats and checks that the leader still reaches a quorum.
+// tickLeader sends due heartbeats and steps down if the leader has lost its quorum,
+// its disk stalls or a transfer has expired.
 func (r *Raft) tickLeader() {
-	if r.now-r.lead.contact >= r.config.ElectionTimeout {
-		// A leader that is cut off, or was frozen, must not go on: another may have
-		// been elected meanwhile, and callers here would wait for commits that
-		// cannot come (thesis 6.2).
+	if r.now-r.leaderState.quorumContact >= r.config.ElectionTimeout {
+		// A leader that is partitioned, or whose process was paused, must step down:
+		// another member may have been elected, and callers here would wait for
+		// commits that cannot succeed (thesis 6.2).
 		r.stepDown(NoQuorumContact)
 		return
 	}
-	if r.writing != nil && r.now-r.writingFrom >= stalledTimeouts*r.config.ElectionTimeout {
-		// A disk that hangs gives no error. The leader would go on to send heartbeats,
-		// and nobody would stand, while every caller waits for its sync. It cannot be
-		// elected again before the write ends, as its own vote needs another one.
+	if r.writing != nil && r.now-r.writeStart >= writeStallTimeouts*r.config.ElectionTimeout {
+		// A hanging disk returns no error. The leader would keep sending heartbeats, so
+		// no election would start while every caller waits for the sync. This member
+		// cannot be elected again before the write completes, because its own vote needs
+		// another write.
 		r.stepDown(WriteStalled)
 		return
 	}
-	if r.lead.transferee != 0 && r.now >= r.lead.transferBy {
-		// The order to stand may still be under way. In this term the lease is
-		// gone, so let a new term begin rather than lead without one.
+	if r.leaderState.transferee != 0 && r.now >= r.leaderState.transferDeadline {
+		// TIMEOUT_NOW may still be in flight, so the lease cannot be renewed in this
+		// term. A new term is better than a leader without a lease.
 		r.stepDown(TransferExpired)
 		return
 	}
-	if r.now >= r.lead.beat {
+	if r.now >= r.leaderState.nextHeartbeat {
 		r.heartbeat()
 	}
 	r.promoteLearner()
 }
 
-// heartbeat starts a round: who answers it has acknowledged this leader after
-// the round was sent. Leases and read index count rounds.
+// heartbeat starts a heartbeat round. A member that replies to it has acknowledged
+// this leader after the round was sent; leases and read indexes rely on that.
 func (r *Raft) heartbeat() {
-	r.lead.round++
-	r.lead.beat = r.now + r.config.HeartbeatInterval
-	r.lead.roundSent = append(r.lead.roundSent, sentRound{round: r.lead.round, at: r.now})
+	r.leaderState.round++
+	r.leaderState.nextHeartbeat = r.now + r.config.HeartbeatInterval
+	r.leaderState.unackedRounds = append(r.leaderState.unackedRounds, sentRound{round: r.leaderState.round, at: r.now})
 	for _, m := range r.log.membership().members {
-		p := r.lead.progress[m.Id]
+		p := r.leaderState.progress[m.Id]
 		if p == nil {
 			continue
 		}
 		r.send(&coordpb.Message{
 			Kind: coordpb.MessageKind_MESSAGE_KIND_HEARTBEAT, To: m.Id,
-			Commit: min(p.match, r.log.commit), ReadContext: r.lead.round,
+			Commit: min(p.match, r.log.commit), ReadContext: r.leaderState.round,
 		})
 	}
-	r.countRounds()
+	r.updateAckedRound()
 }
 
-// countRounds finds the newest round that a quorum has answered, renews the
-// lease from when it was sent, and frees the reads that waited for it.
-func (r *Raft) countRounds() {
-	acked := r.quorumOf(r.lead.round, func(p *progress) uint64 { return p.round })
-	sent := r.lead.roundSent
+// updateAckedRound finds the latest round acknowledged by a quorum, renews the lease
+// from the time that round was sent and releases the reads that waited for it.
+func (r *Raft) updateAckedRound() {
+	acked := r.quorumValue(r.leaderState.round, func(p *progress) uint64 { return p.ackedRound })
+	sent := r.leaderState.unackedRounds
 	for len(sent) > 0 && sent[0].round <= acked {
-		r.lead.contact = sent[0].at
+		r.leaderState.quorumContact = sent[0].at
 		r.renewLease(sent[0].at)
 		sent = sent[1:]
 	}
-	r.lead.roundSent = sent
-	r.freeReads(acked)
+	r.leaderState.unackedRounds = sent
+	r.releaseReads(acked)
 }
 
-// renewLease counts from the sending, so that the holder's lease ends before any
-// member that answered is free to vote: that one counts a whole election timeout
-// from its later receipt. A frozen process finds its lease ended when it wakes,
-// as the lease is compared with the time then. A leader that has ordered another
-// member to stand has no lease left: that order overrides the others' promise.
+// renewLease counts the lease from the sending of the heartbeat, so that it ends
+// before any member that replied may vote again: that member counts a full election
+// timeout from its later receipt. The lease is compared with the current time on use,
+// so a process that was paused finds it expired. During a transfer the lease must not
+// be renewed, because vote requests after TIMEOUT_NOW bypass leader stickiness.
 func (r *Raft) renewLease(sent time.Duration) {
-	if r.lead.transferee != 0 {
+	if r.leaderState.transferee != 0 {
 		return
 	}
-	r.lead.lease = sent + r.config.ElectionTimeout*leaseNumerator/leaseDenominator
+	r.leaderState.leaseUntil = sent + r.config.ElectionTimeout*leaseNumerator/leaseDenominator
 }
 
-// quorumOf returns the highest value that a majority of voters has reached.
-func (r *Raft) quorumOf(own uint64, of func(*progress) uint64) uint64 {
+// quorumValue returns the highest value that a majority of voters has reached. own
+// is this member's value and valueOf returns another member's.
+func (r *Raft) quorumValue(own uint64, valueOf func(*progress) uint64) uint64 {
 	var values []uint64
 	for _, m := range r.log.membership().members {
 		switch {
 		case m.Learner:
 		case m.Id == r.config.ID:
 			values = append(values, own)
-		case r.lead.progress[m.Id] != nil:
-			values = append(values, of(r.lead.progress[m.Id]))
+		case r.leaderState.progress[m.Id] != nil:
+			values = append(values, valueOf(r.leaderState.progress[m.Id]))
 		}
 	}
 	if len(values) == 0 {
@@ -136,12 +139,13 @@
 	return values[(len(values)-1)/2]
 }
 
-// commitByQuorum commits what a majority has synced, if it is of this term. An
-// entry of an earlier term is never committed by counting: a later leader could
-// still overwrite it, and a caller's acknowledged change would be lost (paper
-// 5.4.2, figure 8). It is committed with the first entry of this term.
+// commitByQuorum commits the entries that a majority has synced if the last of them
+// is of this term, and reports whether the commit index moved. Entries of earlier
+// terms are never committed by counting replicas: a later leader could still
+// overwrite them, and an acknowledged change would be lost (paper 5.4.2, figure 8).
+// They are committed with the first entry of this term.
 func (r *Raft) commitByQuorum() bool {
-	index := r.quorumOf(r.log.stable, func(p *progress) uint64 { return p.match })
+	index := r.quorumValue(r.log.stable, func(p *progress) uint64 { return p.match })
 	if index <= r.log.commit {
 		return false
 	}
@@ -152,28 +156,29 @@
 	return true
 }
 
-// afterCommit tells the others of a higher commit index.
+// afterCommit starts waiting reads and sends the new commit index to the members.
 func (r *Raft) afterCommit() {
-	r.startReads()
-	r.tellCommit()
+	r.assignReadRounds()
+	r.broadcastCommit()
 }
 
-func (r *Raft) tellCommit() {
+func (r *Raft) broadcastCommit() {
 	for _, m := range r.log.membership().members {
-		if p := r.lead.progress[m.Id]; p != nil {
+		if p := r.leaderState.progress[m.Id]; p != nil {
 			r.sendAppend(m.Id, p, p.state == replicating)
 		}
 	}
 }
 
-// Written must be called when everything in a write is synced.
+// Written must be called when everything in w is synced. It completes w, so that
+// NextWrite can return another one.
 func (r *Raft) Written(now time.Duration, w *Write) {
 	r.advance(now)
 	r.writing = nil
 	if w.HardState != nil {
 		r.persisted = w.HardState
 	}
-	r.noteStable(w.Entries)
+	r.advanceStable(w.Entries)
 	switch r.role {
 	case Candidate:
 		if r.persisted.Term == r.term && r.persisted.Vote == r.config.ID {
@@ -187,10 +192,10 @@
 	}
 }
 
-// noteStable counts written entries as synced, unless a later leader replaced
-// them while they were being written. Where the last one still has its term, all
-// before it are the same too (paper 5.3), also behind a snapshot that came since.
-func (r *Raft) noteStable(entries []*coordpb.Entry) {
+// advanceStable marks written entries as synced, unless a later leader replaced them
+// during the write. If the last entry still has its term, all entries before it are
+// unchanged too (paper 5.3), even if a snapshot was installed since.
+func (r *Raft) advanceStable(entries []*coordpb.Entry) {
 	if len(entries) == 0 {
 		return
 	}
--- a/coord/consensus/linear_test.go
+++ b/coord/consensus/linear_test.go
@@ -11,42 +11,42 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// history records what callers of a register see: each command writes a value of
-// its own, and a read returns the newest applied one.
+// history records what callers of a register observe: each command writes a unique
+// value, and a read returns the latest applied one.
 type history struct {
-	moment int64
-	writes map[ticket]porcupine.Operation
-	reads  map[uint64]porcupine.Operation
-	done   []porcupine.Operation
+	clock     int64
+	writes    map[entryID]porcupine.Operation
+	reads     map[uint64]porcupine.Operation
+	completed []porcupine.Operation
 
-	revisions map[uint64]uint64 // value -> revision, of what any member applied
+	revisions map[uint64]uint64 // value -> revision of every value that any member applied
 }
 
-// ticket is the caller's end of a command: the leader that took it and its entry.
-type ticket struct{ member, index, term uint64 }
+// entryID identifies a proposed command by the leader that accepted it and its entry.
+type entryID struct{ member, index, term uint64 }
 
-// access is one call on the register.
-type access struct {
+// call is a call on the register: a write of value, or a read.
+type call struct {
 	write bool
 	value uint64
 }
 
 func newHistory() history {
-	return history{writes: map[ticket]porcupine.Operation{}, reads: map[uint64]porcupine.Operation{}, revisions: map[uint64]uint64{}}
+	return history{writes: map[entryID]porcupine.Operation{}, reads: map[uint64]porcupine.Operation{}, revisions: map[uint64]uint64{}}
 }
 
-func (h *history) operation(input access) porcupine.Operation {
-	h.moment++
-	return porcupine.Operation{ClientId: int(h.moment), Input: input, Call: h.moment}
+func (h *history) operation(input call) porcupine.Operation {
+	h.clock++
+	return porcupine.Operation{ClientId: int(h.clock), Input: input, Call: h.clock}
 }
 
-func (h *history) write(t ticket, value uint64) { h.writes[t] = h.operation(access{true, value}) }
+func (h *history) startWrite(t entryID, value uint64) { h.writes[t] = h.operation(call{true, value}) }
 
-func (h *history) read(id uint64) { h.reads[id] = h.operation(access{}) }
+func (h *history) startRead(id uint64) { h.reads[id] = h.operation(call{}) }
 
-// applied ends the write whose caller waits at this member for this entry. If
-// another entry took its place, the write never happened.
-func (h *history) applied(m *member, e *coordpb.Entry) {
+// completeWrites completes the writes that wait at this member for this entry. A write
+// whose entry was replaced by another one did not take effect.
+func (h *history) completeWrites(m *member, e *coordpb.Entry) {
 	if e.Kind == coordpb.EntryKind_ENTRY_KIND_COMMAND {
 		h.revisions[m.machine.value] = m.machine.revision
 	}
@@ -56,65 +56,66 @@
 		}
 		delete(h.writes, t)
 		if t.term == e.Term {
-			h.finish(op, seen{revision: m.machine.revision})
+			h.finish(op, result{revision: m.machine.revision})
 		}
 	}
 }
 
-func (h *history) answered(id uint64, m machine) {
+func (h *history) completeRead(id uint64, m stateMachine) {
 	op, found := h.reads[id]
 	if !found {
 		return
 	}
 	delete(h.reads, id)
-	h.finish(op, seen{m.revision, m.value})
+	h.finish(op, result{m.revision, m.value})
 }
 
-func (h *history) finish(op porcupine.Operation, output seen) {
-	h.moment++
-	op.Return, op.Output = h.moment, output
-	h.done = append(h.done, op)
+func (h *history) finish(op porcupine.Operation, output result) {
+	h.clock++
+	op.Return, op.Output = h.clock, output
+	h.completed = append(h.completed, op)
 }
 
-// whole returns all operations. A write whose caller got no answer counts if any
-// member applied it, at any time since. A read without an answer says nothing.
-func (h *history) whole() []porcupine.Operation {
-	all := append([]porcupine.Operation(nil), h.done...)
+// operations returns all operations. A write without a reply counts if any member
+// applied it, with an open end. A read without a reply is left out.
+func (h *history) operations() []porcupine.Operation {
+	all := append([]porcupine.Operation(nil), h.completed...)
 	for _, op := range h.writes {
-		if revision, applied := h.revisions[op.Input.(access).value]; applied {
-			op.Return, op.Output = math.MaxInt64, seen{revision: revision}
+		if revision, applied := h.revisions[op.Input.(call).value]; applied {
+			op.Return, op.Output = math.MaxInt64, result{revision: revision}
 			all = append(all, op)
 		}
 	}
 	return all
 }
 
-// seen is what a caller gets: the revision that a write made, or the value and
-// its revision. Revisions keep the check fast: a write fits in one place only.
-type seen struct{ revision, value uint64 }
+// result is what a call returns: the revision of a write, or the value read and
+// its revision. Unique revisions keep the check fast, because each write fits only one
+// position.
+type result struct{ revision, value uint64 }
 
 var register = porcupine.Model{
-	Init: func() any { return seen{} },
+	Init: func() any { return result{} },
 	Step: func(state, input, output any) (bool, any) {
-		before, a, out := state.(seen), input.(access), output.(seen)
+		before, a, out := state.(result), input.(call), output.(result)
 		if a.write {
-			return out.revision == before.revision+1, seen{out.revision, a.value}
+			return out.revision == before.revision+1, result{out.revision, a.value}
 		}
 		return out == before, before
 	},
 }
 
-// TestLinearizable plays shorter schedules and asks porcupine whether what the
-// callers saw fits one register.
+// TestLinearizable runs shorter schedules and checks with porcupine that the recorded
+// calls are linearizable for one register.
 func TestLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSchedule(t, 2500)
 		c := s.run()
-		if c.broken != "" {
-			t.Fatalf("%s\nschedule: %#v", c.broken, s)
+		if c.failure != "" {
+			t.Fatalf("%s\nschedule: %#v", c.failure, s)
 		}
-		if verdict := porcupine.CheckOperationsTimeout(register, c.history.whole(), time.Minute); verdict != porcupine.Ok {
-			t.Fatalf("porcupine's verdict on the history: %v\nschedule: %#v", verdict, s)
+		if verdict := porcupine.CheckOperationsTimeout(register, c.history.operations(), time.Minute); verdict != porcupine.Ok {
+			t.Fatalf("history is not linearizable: porcupine returned %v\nschedule: %#v", verdict, s)
 		}
 	})
 }
--- a/coord/consensus/log.go
+++ b/coord/consensus/log.go
@@ -7,22 +7,23 @@
 	"cowsliptiller/coord/fault"
 )
 
-// raftLog holds the entries after the last compaction. Entries are never changed
-// once they are in it: they are shared with messages and writes.
+// raftLog holds the entries after the last compaction. Entries must not be modified
+// once they are appended: they are shared with messages and writes.
 type raftLog struct {
-	// base is the position before entries[0].
+	// Index and term of the entry before entries[0].
 	baseIndex, baseTerm uint64
 	entries             []*coordpb.Entry
-	snapshot            *coordpb.Snapshot // newest one; its index is >= baseIndex
-	stable              uint64            // entries up to here are synced
+	snapshot            *coordpb.Snapshot // latest one; its index is >= baseIndex
+	stable              uint64            // last index that is synced
 	commit              uint64
-	handed              uint64 // entries up to here went out through Committed
-	// memberships in log order: the snapshot's, then one for each entry. A
-	// membership counts from when it is appended, not committed (thesis 4.1).
-	memberships []membershipAt
+	delivered           uint64 // last index returned by Committed
+	// memberships in log order: the snapshot's, then one per membership entry. A
+	// membership takes effect when it is appended, not when it is committed
+	// (thesis 4.1).
+	memberships []indexedMembership
 }
 
-type membershipAt struct {
+type indexedMembership struct {
 	index   uint64
 	members []*coordpb.Member
 }
@@ -30,29 +31,30 @@
 func newLog(d Durable) (*raftLog, error) {
 	meta := d.Snapshot.GetMeta()
 	if meta == nil {
-		return nil, fault.New(fault.Internal, "consensus: no snapshot in the durable state")
+		return nil, fault.New(fault.Internal, "consensus: persisted state has no snapshot")
 	}
 	l := &raftLog{baseIndex: meta.Index, baseTerm: meta.Term, snapshot: d.Snapshot}
 	entries := d.Entries
 	if len(entries) > 0 && entries[0].Index <= meta.Index {
-		// The first kept entry becomes the base: its own predecessor's term is gone.
+		// The first stored entry becomes the base, because the term of the entry before
+		// it is not known.
 		l.baseIndex, l.baseTerm = entries[0].Index, entries[0].Term
 		entries = entries[1:]
 	}
 	for i, e := range entries {
 		if e.Index != l.baseIndex+1+uint64(i) {
-			return nil, fault.New(fault.Internal, "consensus: log entry %d found where %d belongs", e.Index, l.baseIndex+1+uint64(i))
+			return nil, fault.New(fault.Internal, "consensus: gap in the stored log: found entry %d, want %d", e.Index, l.baseIndex+1+uint64(i))
 		}
 	}
 	l.entries = append([]*coordpb.Entry(nil), entries...)
 	if l.last() < meta.Index {
-		return nil, fault.New(fault.Internal, "consensus: log ends at %d, before its snapshot at %d", l.last(), meta.Index)
+		return nil, fault.New(fault.Internal, "consensus: log ends at index %d, before its snapshot at index %d", l.last(), meta.Index)
 	}
 	l.stable = l.last()
-	l.handed = meta.Index
+	l.delivered = meta.Index
 	l.commit = max(meta.Index, d.HardState.GetCommit())
 	if l.commit > l.last() {
-		return nil, fault.New(fault.Internal, "consensus: log ends at %d, before the commit index %d: synced entries are missing", l.last(), l.commit)
+		return nil, fault.New(fault.Internal, "consensus: log ends at index %d, before the commit index %d: synced entries are missing", l.last(), l.commit)
 	}
 	return l, l.readMemberships()
 }
@@ -64,7 +66,7 @@
 	return t
 }
 
-// term returns the term of the entry at index; false when it is not held.
+// term returns the term of the entry at index, and false if the log does not hold it.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -77,15 +79,16 @@
 
 func (l *raftLog) at(index uint64) *coordpb.Entry { return l.entries[index-l.baseIndex-1] }
 
-// slice returns the entries in (after, through]. The caller must not append to it.
+// slice returns the entries in (after, through]. The result shares the log's memory:
+// the caller must not modify it or append to it.
 func (l *raftLog) slice(after, through uint64) []*coordpb.Entry {
 	from, to := after-l.baseIndex, through-l.baseIndex
 	return l.entries[from:to:to]
 }
 
-// sized returns entries after an index up to a number of bytes, at least one, and their
-// bytes on the wire.
-func (l *raftLog) sized(after uint64, maxBytes int) (entries []*coordpb.Entry, bytes int) {
+// entriesAfter returns entries after an index up to maxBytes, but at least one if there
+// is any, and their encoded size in bytes.
+func (l *raftLog) entriesAfter(after uint64, maxBytes int) (entries []*coordpb.Entry, bytes int) {
 	through := after
 	for i := after + 1; i <= l.last(); i++ {
 		next := proto.Size(l.at(i))
@@ -110,14 +113,14 @@
 	return nil
 }
 
-// truncate drops the entries from index on. Entries that are committed never
-// conflict with a leader's log (paper 5.4.3): if they seem to, going on would
-// lose what callers were told is done.
+// truncate removes the entries from an index on. Committed entries never conflict
+// with a leader's log (paper 5.4.3); if they seem to, truncating them would lose
+// changes that were acknowledged to callers.
 func (l *raftLog) truncate(from uint64) error {
 	if from <= l.commit {
-		return fault.New(fault.Internal, "consensus: refusing to drop committed entry %d (commit %d)", from, l.commit)
+		return fault.New(fault.Internal, "consensus: refusing to truncate committed entry %d (commit index %d)", from, l.commit)
 	}
-	// A new slice: the old one's tail may be on its way to disk or to a member.
+	// Copies the entries: a pending write or message may still use the old array's tail.
 	l.entries = append([]*coordpb.Entry(nil), l.entries[:from-l.baseIndex-1]...)
 	l.stable = min(l.stable, from-1)
 	n := len(l.memberships)
@@ -131,15 +134,15 @@
 func (l *raftLog) addMembership(e *coordpb.Entry) error {
 	var m coordpb.Membership
 	if err := proto.Unmarshal(e.Data, &m); err != nil {
-		return fault.New(fault.Internal, "consensus: membership entry %d: %v", e.Index, err)
+		return fault.New(fault.Internal, "consensus: decoding membership entry %d: %v", e.Index, err)
 	}
-	l.memberships = append(l.memberships, membershipAt{index: e.Index, members: m.Members})
+	l.memberships = append(l.memberships, indexedMembership{index: e.Index, members: m.Members})
 	return nil
 }
 
 func (l *raftLog) readMemberships() error {
 	meta := l.snapshot.Meta
-	l.memberships = []membershipAt{{index: meta.Index, members: meta.Membership.GetMembers()}}
+	l.memberships = []indexedMembership{{index: meta.Index, members: meta.Membership.GetMembers()}}
 	for _, e := range l.entries {
 		if e.Index <= meta.Index || e.Kind != coordpb.EntryKind_ENTRY_KIND_MEMBERSHIP {
 			continue
@@ -151,11 +154,11 @@
 	return nil
 }
 
-// membership returns the newest membership in the log and its index.
-func (l *raftLog) membership() membershipAt { return l.memberships[len(l.memberships)-1] }
+// membership returns the latest membership in the log and its index.
+func (l *raftLog) membership() indexedMembership { return l.memberships[len(l.memberships)-1] }
 
-// membershipBy returns the membership that counts at a committed index.
-func (l *raftLog) membershipBy(index uint64) []*coordpb.Member {
+// membershipAt returns the membership in effect at a committed index.
+func (l *raftLog) membershipAt(index uint64) []*coordpb.Member {
 	members := l.memberships[0].members
 	for _, m := range l.memberships {
 		if m.index <= index {
@@ -165,24 +168,25 @@
 	return members
 }
 
-// reset replaces the whole log by a snapshot.
+// reset replaces the whole log with a snapshot.
 func (l *raftLog) reset(s *coordpb.Snapshot) {
 	l.baseIndex, l.baseTerm = s.Meta.Index, s.Meta.Term
 	l.entries = nil
 	l.snapshot = s
 	l.stable = s.Meta.Index
 	l.commit = s.Meta.Index
-	l.memberships = []membershipAt{{index: s.Meta.Index, members: s.Meta.Membership.GetMembers()}}
+	l.memberships = []indexedMembership{{index: s.Meta.Index, members: s.Meta.Membership.GetMembers()}}
 }
 
-// compact keeps the entries after an index that is at most the snapshot's.
+// compact replaces the snapshot and removes the entries up to keepAfter, which is
+// limited to the snapshot's index.
 func (l *raftLog) compact(s *coordpb.Snapshot, keepAfter uint64) {
 	keepAfter = max(min(keepAfter, s.Meta.Index), l.baseIndex)
 	term, _ := l.term(keepAfter)
 	l.entries = append([]*coordpb.Entry(nil), l.entries[keepAfter-l.baseIndex:]...)
 	l.baseIndex, l.baseTerm = keepAfter, term
 	l.snapshot = s
-	kept := []membershipAt{{index: s.Meta.Index, members: s.Meta.Membership.GetMembers()}}
+	kept := []indexedMembership{{index: s.Meta.Index, members: s.Meta.Membership.GetMembers()}}
 	for _, m := range l.memberships {
 		if m.index > s.Meta.Index {
 			kept = append(kept, m)
@@ -191,15 +195,17 @@
 	l.memberships = kept
 }
 
-// upToDate is the election restriction of paper 5.4.1.
-func (l *raftLog) upToDate(index, term uint64) bool {
+// isUpToDate implements the election restriction of paper 5.4.1: it reports whether a
+// log that ends at index and term is at least as up to date as this one.
+func (l *raftLog) isUpToDate(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || (term == own && index >= l.last())
 }
 
-// agreeBefore returns where a follower's log may agree with a leader that was
-// refused at index: before the whole conflicting term (paper 5.3, end).
-func (l *raftLog) agreeBefore(index uint64) uint64 {
+// rejectionHint returns the highest index at which a follower's log may match that of
+// a leader whose append at index was rejected: it skips the whole conflicting term
+// (paper 5.3, end).
+func (l *raftLog) rejectionHint(index uint64) uint64 {
 	if index > l.last() {
 		return l.last()
 	}
--- a/coord/consensus/progress.go
+++ b/coord/consensus/progress.go
@@ -9,39 +9,40 @@
 type progressState int
 
 const (
-	probing     progressState = iota // where the logs agree is not known: one message at a time
-	replicating                      // appends are sent ahead of their replies
-	snapshotting
+	probing      progressState = iota // the matching index is unknown: one message at a time
+	replicating                       // appends are pipelined
+	snapshotting                      // a snapshot is being sent
 )
 
-// progress is what a leader knows of another member.
+// progress is the leader's replication state of another member.
 type progress struct {
-	state    progressState
-	match    uint64       // highest entry known to be synced there
-	next     uint64       // next entry to send
-	waiting  bool         // probing: a message is out
-	inflight []sentAppend // oldest first
-	round    uint64       // newest heartbeat round answered
-	active   time.Duration
-
-	snapshot   *coordpb.Snapshot // being sent
-	offset     uint64            // next byte to send
-	chunkSent  time.Duration
-	goal       uint64 // learners: entry to reach in this round of catching up
-	goalSet    time.Duration
-	everActive bool
-	added      time.Duration // when the leader began to follow it
-	disk       string        // data folder that its messages come from, if told
-}
-
-// sentAppend is an append message that was sent ahead of its reply.
-type sentAppend struct {
-	through uint64 // its last entry
-	bytes   int
-}
-
-// full reports whether as much is on the way to a member as may be.
-func (r *Raft) full(p *progress) bool {
+	state      progressState
+	match      uint64           // highest index known to be synced on the member
+	next       uint64           // index of the next entry to send
+	probeSent  bool             // probing: a message is unanswered
+	inflight   []inflightAppend // oldest first
+	ackedRound uint64           // latest heartbeat round acknowledged
+	lastReply  time.Duration
+
+	snapshot     *coordpb.Snapshot // being sent
+	offset       uint64            // of the next byte to send
+	chunkSent    time.Duration
+	catchUpIndex uint64 // learners: index to reach in this catch-up round
+	catchUpStart time.Duration
+	hasReplied   bool
+	trackedSince time.Duration // when the leader started to track the member
+	disk         string        // id of the member's data folder; empty if unknown
+}
+
+// inflightAppend is an append message that has not been acknowledged.
+type inflightAppend struct {
+	lastIndex uint64 // of its entries
+	bytes     int    // encoded size of its entries
+}
+
+// inflightFull reports whether the limit of unacknowledged messages or bytes to a
+// member is reached.
+func (r *Raft) inflightFull(p *progress) bool {
 	bytes := 0
 	for _, s := range p.inflight {
 		bytes += s.bytes
@@ -50,42 +51,42 @@
 }
 
 func (r *Raft) newProgress() *progress {
-	return &progress{next: r.log.last() + 1, goal: r.log.last(), goalSet: r.now, added: r.now}
+	return &progress{next: r.log.last() + 1, catchUpIndex: r.log.last(), catchUpStart: r.now, trackedSince: r.now}
 }
 
-// followMembership adds and drops progress as the newest membership says.
-func (r *Raft) followMembership() {
+// updateProgress adds and removes progress entries to match the latest membership.
+func (r *Raft) updateProgress() {
 	members := map[uint64]bool{}
 	for _, m := range r.log.membership().members {
 		members[m.Id] = true
-		if m.Id != r.config.ID && r.lead.progress[m.Id] == nil {
-			r.lead.progress[m.Id] = r.newProgress()
+		if m.Id != r.config.ID && r.leaderState.progress[m.Id] == nil {
+			r.leaderState.progress[m.Id] = r.newProgress()
 		}
 	}
-	for id := range r.lead.progress {
+	for id := range r.leaderState.progress {
 		if !members[id] {
-			delete(r.lead.progress, id)
+			delete(r.leaderState.progress, id)
 		}
 	}
 }
 
-// replicate sends what is new to each member, and commits at once in a group of one.
+// replicate sends new entries to each member.
 func (r *Raft) replicate() {
 	for _, m := range r.log.membership().members {
-		if p := r.lead.progress[m.Id]; p != nil {
+		if p := r.leaderState.progress[m.Id]; p != nil {
 			r.sendAppend(m.Id, p, false)
 		}
 	}
 }
 
-// maxProbeBytes bounds the entries of a message that finds out where the logs agree. It
-// is sent again with each heartbeat, and may be refused.
+// maxProbeBytes limits the entries in a probe, a message that finds the matching index.
+// A probe is sent again with each heartbeat and may be rejected.
 const maxProbeBytes = 16 << 10
 
-// sendAppend sends entries as far as the member may be sent more. With empty
-// set it sends a message even without entries, to tell the commit index or to
-// find out what got lost.
-func (r *Raft) sendAppend(id uint64, p *progress, empty bool) {
+// sendAppend sends entries to a member up to its in-flight limits. If sendEmpty is
+// set, it sends at least one message, even without entries, to pass on the commit index or
+// to detect lost entries.
+func (r *Raft) sendAppend(id uint64, p *progress, sendEmpty bool) {
 	for r.mayAppend(p) {
 		previous := p.next - 1
 		term, held := r.log.term(previous)
@@ -93,24 +94,24 @@
 			r.startSnapshot(id, p)
 			return
 		}
-		entries, bytes := r.log.sized(previous, r.config.MaxAppendBytes)
+		entries, bytes := r.log.entriesAfter(previous, r.config.MaxAppendBytes)
 		if p.state == probing && bytes > maxProbeBytes {
 			entries, bytes = nil, 0
 		}
-		if len(entries) == 0 && !empty && p.state == replicating {
+		if len(entries) == 0 && !sendEmpty && p.state == replicating {
 			return
 		}
 		r.sendEntries(id, previous, term, entries)
-		empty = false
+		sendEmpty = false
 		if p.state == probing {
-			p.waiting = true
+			p.probeSent = true
 			return
 		}
 		if len(entries) == 0 {
 			return
 		}
 		p.next += uint64(len(entries))
-		p.inflight = append(p.inflight, sentAppend{through: p.next - 1, bytes: bytes})
+		p.inflight = append(p.inflight, inflightAppend{lastIndex: p.next - 1, bytes: bytes})
 	}
 }
 
@@ -121,10 +122,10 @@
 	})
 }
 
-// sendCheck sends a message without entries behind all that is on the way. A member that
-// has missed some refuses it. What is only late is not sent again: entries that take
-// longer than a heartbeat interval would fill the link with their copies.
-func (r *Raft) sendCheck(id uint64, p *progress) {
+// sendEmptyAppend sends an append without entries that follows everything in flight. A
+// member that missed some entries rejects it. Entries that are only late are not sent
+// again: if they take longer than a heartbeat interval, copies would saturate the link.
+func (r *Raft) sendEmptyAppend(id uint64, p *progress) {
 	previous := p.next - 1
 	term, held := r.log.term(previous)
 	if !held {
@@ -137,23 +138,23 @@
 func (r *Raft) mayAppend(p *progress) bool {
 	switch p.state {
 	case probing:
-		return !p.waiting
+		return !p.probeSent
 	case replicating:
-		return !r.full(p)
+		return !r.inflightFull(p)
 	}
 	return false
 }
 
-// handleReply takes any answer to a leader.
+// handleReply processes a reply to a leader's message.
 func (r *Raft) handleReply(m *coordpb.Message) {
 	if r.role != Leader {
 		return
 	}
-	p := r.lead.progress[m.From]
+	p := r.leaderState.progress[m.From]
 	if p == nil {
 		return
 	}
-	p.active, p.everActive = r.now, true
+	p.lastReply, p.hasReplied = r.now, true
 	switch m.Kind {
 	case coordpb.MessageKind_MESSAGE_KIND_HEARTBEAT_REPLY:
 		r.handleHeartbeatReply(m, p)
@@ -176,7 +177,7 @@
 		p.match = m.LogIndex
 	}
 	p.next = max(p.next, p.match+1)
-	for len(p.inflight) > 0 && p.inflight[0].through <= m.LogIndex {
+	for len(p.inflight) > 0 && p.inflight[0].lastIndex <= m.LogIndex {
 		p.inflight = p.inflight[1:]
 	}
 	if p.state == probing || (p.state == snapshotting && p.match >= p.snapshot.Meta.Index) {
@@ -190,21 +191,21 @@
 }
 
 func (p *progress) startReplicating() {
-	p.state, p.waiting, p.inflight, p.snapshot = replicating, false, nil, nil
+	p.state, p.probeSent, p.inflight, p.snapshot = replicating, false, nil, nil
 	p.next = p.match + 1
 }
 
 func (p *progress) startProbing(next uint64) {
-	p.state, p.waiting, p.inflight, p.snapshot = probing, false, nil, nil
+	p.state, p.probeSent, p.inflight, p.snapshot = probing, false, nil, nil
 	p.next = next
 }
 
-// handleRejectedAppend steps back to where the logs may agree (paper 5.3).
+// handleRejectedAppend moves next back to where the logs may match (paper 5.3).
 func (r *Raft) handleRejectedAppend(m *coordpb.Message, p *progress) {
 	switch p.state {
 	case replicating:
 		if m.LogIndex <= p.match {
-			return // an old message, overtaken by what is acknowledged since
+			return // stale: a later entry is already acknowledged
 		}
 		p.startProbing(p.match + 1)
 	case probing:
@@ -218,19 +219,19 @@
 	r.sendAppend(m.From, p, false)
 }
 
-// handleHeartbeatReply counts the round and finds out what may have been lost.
+// handleHeartbeatReply records the acknowledged round and checks for lost messages.
 func (r *Raft) handleHeartbeatReply(m *coordpb.Message, p *progress) {
-	if m.ReadContext > p.round {
-		p.round = m.ReadContext
-		r.countRounds()
+	if m.ReadContext > p.ackedRound {
+		p.ackedRound = m.ReadContext
+		r.updateAckedRound()
 	}
-	p.waiting = false
+	p.probeSent = false
 	switch {
 	case p.state == snapshotting:
 		r.resendChunk(m.From, p)
 	case p.state == probing:
 		r.sendAppend(m.From, p, true)
 	case p.match < r.log.last():
-		r.sendCheck(m.From, p)
+		r.sendEmptyAppend(m.From, p)
 	}
 }
--- a/coord/consensus/raft.go
+++ b/coord/consensus/raft.go
@@ -7,10 +7,10 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Role is what a member is at the moment.
+// Role is the role of a member in its current term.
 type Role int
 
-// The roles of paper figure 4, and the trial before a candidacy (thesis 9.6).
+// The roles of paper figure 4, and the pre-vote phase before a candidacy (thesis 9.6).
 const (
 	Follower Role = iota
 	PreCandidate
@@ -18,11 +18,11 @@
 	Leader
 )
 
-// Raft is one member.
+// Raft is one member of a group.
 type Raft struct {
 	config Config
 	log    *raftLog
-	now    time.Duration // newest time seen; monotonic
+	now    time.Duration // latest time passed in; never decreases
 
 	role      Role
 	term      uint64
@@ -30,30 +30,33 @@
 	leader    uint64
 	persisted *coordpb.HardState
 
-	// heard is when a leader was heard, or the start: a member that forgot its
-	// promise in a crash keeps it by waiting as if it had made it just then.
-	heard    time.Duration
-	promised promise
-	deadline time.Duration // when to stand for election
-	votes    map[uint64]bool
+	// leaderContact is the time of the last message from a leader, or of the start: this
+	// time is not persisted, so after a restart a member rejects votes as if the leader
+	// had contacted it at the start.
+	leaderContact    time.Duration
+	stickiness       leaderStickiness
+	electionDeadline time.Duration // when to start an election
+	votes            map[uint64]bool
 
-	lead leadership // leader only
-	// steppedDown is the newest loss of leadership.
+	leaderState leaderState // leader only
+	// steppedDown is this member's latest loss of leadership.
 	steppedDown StepDown
-	incoming    *incoming // snapshot being received
-
-	messages []*coordpb.Message // may be sent at once
-	promises []*coordpb.Message // wait for the next write
-	writing  *Write
-	// writingFrom is when the write went out.
-	writingFrom time.Duration
-	installed   *coordpb.Snapshot // received snapshot not yet in a write
-	restore     *coordpb.Snapshot // received snapshot to hand to the state machine
-	compacted   bool              // a local snapshot not yet in a write
-	reads       []ReadState
+	incoming    *incomingSnapshot // snapshot being received; nil if none
+
+	messages  []*coordpb.Message // may be sent at once
+	afterSync []*coordpb.Message // sent after the next write is synced
+	writing   *Write
+	// writeStart is when NextWrite returned writing.
+	writeStart        time.Duration
+	installedSnapshot *coordpb.Snapshot // received snapshot not yet in a Write
+	pendingRestore    *coordpb.Snapshot // received snapshot not yet returned by Committed
+	compacted         bool              // a local snapshot is not yet in a Write
+	reads             []ReadState
 }
 
-// New starts a member from what its folder holds.
+// New starts a member from its persisted state. The returned error reports an
+// invalid configuration (fault.InvalidRequest) or an inconsistent state
+// (fault.Internal).
 func New(c Config, d Durable, now time.Duration) (*Raft, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -65,24 +68,25 @@
 	hs := &coordpb.HardState{
 		Term: d.HardState.GetTerm(), Vote: d.HardState.GetVote(), Commit: l.commit, Leader: d.HardState.GetLeader(),
 	}
-	r := &Raft{config: c, log: l, now: now, term: hs.Term, vote: hs.Vote, persisted: hs, heard: now}
-	r.promised = promise{leader: hs.Leader, term: hs.Term}
-	r.resetDeadline()
+	r := &Raft{config: c, log: l, now: now, term: hs.Term, vote: hs.Vote, persisted: hs, leaderContact: now}
+	r.stickiness = leaderStickiness{leader: hs.Leader, term: hs.Term}
+	r.resetElectionDeadline()
 	if hs.Leader == c.ID {
-		r.standAsFormerLeader()
+		r.campaignAsFormerLeader()
 	}
 	return r, nil
 }
 
-// Tick tells the time. It must be called at least each heartbeat interval.
+// Tick advances the time, starts elections and sends heartbeats. It must be called
+// at least once per heartbeat interval.
 func (r *Raft) Tick(now time.Duration) {
 	r.advance(now)
 	if r.role == Leader {
 		r.tickLeader()
 		return
 	}
-	if r.now >= r.deadline {
-		r.campaign()
+	if r.now >= r.electionDeadline {
+		r.startPreVote()
 	}
 }
 
@@ -91,10 +95,10 @@
 func (r *Raft) Propose(now time.Duration, commands [][]byte) (first, term uint64, err error) {
 	r.advance(now)
 	if r.role != Leader {
-		return 0, 0, fault.New(fault.NotLeader, "member %d does not lead", r.config.ID)
+		return 0, 0, fault.New(fault.NotLeader, "member %d is not the leader", r.config.ID)
 	}
-	if r.lead.transferee != 0 {
-		return 0, 0, fault.New(fault.NotLeader, "leadership is being handed to member %d", r.lead.transferee)
+	if r.leaderState.transferee != 0 {
+		return 0, 0, fault.New(fault.NotLeader, "leadership is being transferred to member %d", r.leaderState.transferee)
 	}
 	first = r.log.last() + 1
 	entries := make([]*coordpb.Entry, len(commands))
@@ -108,7 +112,7 @@
 	return first, r.term, nil
 }
 
-// Step takes a message from another member. The error tells of a broken
+// Step processes a message from another member. An error reports a violated
 // invariant: the member must stop.
 func (r *Raft) Step(now time.Duration, m *coordpb.Message) error {
 	r.advance(now)
@@ -117,12 +121,12 @@
 	}
 	switch {
 	case m.Term > r.term:
-		if r.keepsPromise(m) {
+		if r.ignoresVoteRequest(m) {
 			return nil
 		}
-		r.meetHigherTerm(m)
+		r.handleHigherTerm(m)
 	case m.Term < r.term:
-		r.answerLowerTerm(m)
+		r.rejectLowerTerm(m)
 		return nil
 	}
 	return r.dispatch(m)
@@ -150,12 +154,13 @@
 	return nil
 }
 
-// advance moves the time forward, never back.
+// advance moves the time forward and ignores earlier times.
 func (r *Raft) advance(now time.Duration) { r.now = max(r.now, now) }
 
-// meetHigherTerm makes this member a follower in the message's term (paper 5.1).
-// A pre-vote asks about a term that nobody is in yet, and so changes nothing.
-func (r *Raft) meetHigherTerm(m *coordpb.Message) {
+// handleHigherTerm makes this member a follower in the message's term (paper 5.1).
+// A pre-vote request names a term that no member has entered yet, so it changes
+// nothing.
+func (r *Raft) handleHigherTerm(m *coordpb.Message) {
 	switch m.Kind {
 	case coordpb.MessageKind_MESSAGE_KIND_PRE_VOTE:
 		return
@@ -167,50 +172,52 @@
 	r.becomeFollower(m.Term, 0)
 }
 
-// answerLowerTerm tells a member that its term is over. A leader of an older
-// term learns so that it is deposed; without the answer a member whose term ran
-// ahead could never be reached by the group's leader again.
-func (r *Raft) answerLowerTerm(m *coordpb.Message) {
+// rejectLowerTerm sends the current term to a member with a lower one. A leader of
+// an older term steps down on it. Without the reply, a leader could never reach a
+// member whose term is ahead of the group's.
+func (r *Raft) rejectLowerTerm(m *coordpb.Message) {
 	switch m.Kind {
 	case coordpb.MessageKind_MESSAGE_KIND_APPEND, coordpb.MessageKind_MESSAGE_KIND_HEARTBEAT, coordpb.MessageKind_MESSAGE_KIND_SNAPSHOT_CHUNK:
-		r.promise(&coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: m.From, Reject: true})
+		r.sendAfterSync(&coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: m.From, Reject: true})
 	case coordpb.MessageKind_MESSAGE_KIND_PRE_VOTE:
-		r.promise(&coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, To: m.From, Reject: true})
+		r.sendAfterSync(&coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, To: m.From, Reject: true})
 	}
 }
 
 func (r *Raft) becomeFollower(term, leader uint64) {
 	if r.role == Leader && term > r.term {
-		r.noteStepDown(HigherTerm)
+		r.recordStepDown(HigherTerm)
 	}
 	if term > r.term {
 		r.term, r.vote = term, 0
 	}
 	if r.role == Leader {
-		r.lead = leadership{}
+		r.leaderState = leaderState{}
 	}
 	r.role, r.leader, r.votes = Follower, leader, nil
-	r.resetDeadline()
+	r.resetElectionDeadline()
 }
 
-func (r *Raft) resetDeadline() {
+func (r *Raft) resetElectionDeadline() {
 	spread := r.config.Random.Int63n(int64(r.config.ElectionTimeout))
-	r.deadline = r.now + r.config.ElectionTimeout + time.Duration(spread)
+	r.electionDeadline = r.now + r.config.ElectionTimeout + time.Duration(spread)
 }
 
-// send queues a message that promises nothing.
+// send queues a message that does not depend on unsynced state.
 func (r *Raft) send(m *coordpb.Message) {
 	m.From, m.Term = r.config.ID, r.termFor(m)
 	r.messages = append(r.messages, m)
 }
 
-// promise queues a message that must follow the sync of what it promises.
-func (r *Raft) promise(m *coordpb.Message) {
+// sendAfterSync queues a message that must not be sent before the state it reports
+// is synced.
+func (r *Raft) sendAfterSync(m *coordpb.Message) {
 	m.From, m.Term = r.config.ID, r.termFor(m)
-	r.promises = append(r.promises, m)
+	r.afterSync = append(r.afterSync, m)
 }
 
-// termFor keeps a term that is already set: pre-votes speak of the next one.
+// termFor returns the message's term if it is set, else the current term: pre-votes
+// carry the next term.
 func (r *Raft) termFor(m *coordpb.Message) uint64 {
 	if m.Term != 0 {
 		return m.Term
--- a/coord/consensus/read.go
+++ b/coord/consensus/read.go
@@ -6,7 +6,7 @@
 	"cowsliptiller/coord/fault"
 )
 
-// ReadState answers ReadIndex: once Index is applied, the read may be served.
+// ReadState is the result of ReadIndex: once Index is applied, the read may be served.
 type ReadState struct {
 	ID    uint64
 	Index uint64
@@ -14,67 +14,69 @@
 
 type pendingRead struct {
 	id    uint64
-	index uint64 // 0: waits for the first commit of this term
-	round uint64
+	index uint64 // 0: waiting for the first commit of this term
+	round uint64 // heartbeat round that a quorum must acknowledge
 }
 
-// ReadIndex asks for an index at or after everything that was committed before
-// the call. The answer comes out of Reads under the same id, unless this member
-// stops leading. Error: fault.NotLeader.
+// ReadIndex requests an index at or after everything that was committed before the
+// call. Reads returns the result under the same id, unless this member stops leading.
+// Error: fault.NotLeader.
 //
-// A leader that was deposed without knowing would serve old state: a withdrawn
-// key would be seen as good. It holds because a quorum must answer a heartbeat
-// that is sent after the call, and because the leader first commits an entry of
-// its own term, before which its commit index may be behind (thesis 6.4).
+// A leader that was deposed without noticing would serve stale state: a withdrawn key
+// would be accepted. To prevent this, a quorum must acknowledge a heartbeat sent after
+// the call, and the leader first commits an entry of its own term, because its commit
+// index may be behind before that (thesis 6.4).
 func (r *Raft) ReadIndex(now time.Duration, id uint64) error {
 	r.advance(now)
 	if r.role != Leader {
 		return fault.New(fault.NotLeader, "member %d does not lead", r.config.ID)
 	}
-	r.lead.pending = append(r.lead.pending, pendingRead{id: id})
-	r.startReads()
+	r.leaderState.pendingReads = append(r.leaderState.pendingReads, pendingRead{id: id})
+	r.assignReadRounds()
 	return nil
 }
 
-// startReads gives new reads their index and the round they wait for. Reads that
-// come while a round is out share the next one.
-func (r *Raft) startReads() {
-	if r.log.commit < r.lead.firstOwn {
+// assignReadRounds assigns new reads their index and the round that they wait for. Reads
+// that arrive while a round is outstanding share the next one.
+func (r *Raft) assignReadRounds() {
+	if r.log.commit < r.leaderState.termStart {
 		return
 	}
-	fresh, out := false, false
-	for i := range r.lead.pending {
-		p := &r.lead.pending[i]
+	assigned, outstanding := false, false
+	for i := range r.leaderState.pendingReads {
+		p := &r.leaderState.pendingReads[i]
 		if p.index == 0 {
-			p.index, p.round = r.log.commit, r.lead.round+1
-			fresh = true
+			p.index, p.round = r.log.commit, r.leaderState.round+1
+			assigned = true
 			continue
 		}
-		out = out || p.round <= r.lead.round
+		outstanding = outstanding || p.round <= r.leaderState.round
 	}
-	if fresh && !out {
+	if assigned && !outstanding {
 		r.heartbeat()
 	}
 }
 
-func (r *Raft) freeReads(acked uint64) {
-	waiting, next := r.lead.pending[:0:0], false
-	for _, p := range r.lead.pending {
+// releaseReads moves the reads whose round is acknowledged to Reads, and starts the next
+// round if others wait for it.
+func (r *Raft) releaseReads(acked uint64) {
+	waiting, roundNeeded := r.leaderState.pendingReads[:0:0], false
+	for _, p := range r.leaderState.pendingReads {
 		if p.index != 0 && p.round <= acked {
 			r.reads = append(r.reads, ReadState{ID: p.id, Index: p.index})
 			continue
 		}
-		next = next || (p.index != 0 && p.round > r.lead.round)
+		roundNeeded = roundNeeded || (p.index != 0 && p.round > r.leaderState.round)
 		waiting = append(waiting, p)
 	}
-	freed := len(waiting) < len(r.lead.pending)
-	r.lead.pending = waiting
-	if freed && next {
+	released := len(waiting) < len(r.leaderState.pendingReads)
+	r.leaderState.pendingReads = waiting
+	if released && roundNeeded {
 		r.heartbeat()
 	}
 }
 
-// Reads returns the reads that may be served.
+// Reads returns the reads that may be served, each once.
 func (r *Raft) Reads() []ReadState {
 	s := r.reads
 	r.reads = nil
--- a/coord/consensus/ready.go
+++ b/coord/consensus/ready.go
@@ -6,53 +6,54 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// Write is what must reach the disk together, in one atomic step.
+// Write is state that must be written to disk in one atomic step.
 type Write struct {
 	HardState *coordpb.HardState
-	// Entries replace everything from Entries[0].Index on.
+	// Entries replace all stored entries from Entries[0].Index on.
 	Entries []*coordpb.Entry
-	// Snapshot replaces the stored one.
+	// Snapshot replaces the stored snapshot; nil keeps it.
 	Snapshot *coordpb.Snapshot
-	// Reset drops every stored entry before Entries are added: the snapshot came
-	// from the leader and the old log does not lead up to it.
+	// Reset removes every stored entry before Entries are added: the snapshot came from
+	// the leader, and the old log does not connect to it.
 	Reset bool
-	// KeepFrom is the first index still needed; entries before it may go.
+	// KeepFrom is the first index still needed; entries before it may be deleted.
 	KeepFrom uint64
-	// Sync tells that Messages promise something of this write. Without it the
-	// write has no more than a new commit index and need not be made at all.
+	// Sync is set if Messages depend on this write. Without it, the write contains
+	// nothing but a new commit index and may be skipped.
 	Sync bool
-	// Messages may be sent after the sync.
+	// Messages may be sent only after the sync.
 	Messages []*coordpb.Message
 }
 
-// Messages returns the messages that may be sent at once.
+// Messages returns the messages that may be sent at once, each once.
 func (r *Raft) Messages() []*coordpb.Message {
 	m := r.messages
 	r.messages = nil
 	return m
 }
 
-// NextWrite returns the next write, or nil when there is none or one is out.
+// NextWrite returns the next write. It returns nil if there is nothing to write or the
+// previous write is not completed.
 func (r *Raft) NextWrite() *Write {
 	if r.writing != nil {
 		return nil
 	}
-	w := &Write{Messages: r.promises, KeepFrom: r.log.baseIndex}
+	w := &Write{Messages: r.afterSync, KeepFrom: r.log.baseIndex}
 	r.fillWrite(w)
 	if !w.Sync && len(w.Messages) == 0 {
 		return nil
 	}
-	r.promises = nil
+	r.afterSync = nil
 	w.HardState = &coordpb.HardState{Term: r.term, Vote: r.vote, Commit: min(r.log.commit, r.log.last()), Leader: r.leader}
-	r.writing, r.writingFrom = w, r.now
+	r.writing, r.writeStart = w, r.now
 	return w
 }
 
 func (r *Raft) fillWrite(w *Write) {
 	w.Sync = r.persisted.Term != r.term || r.persisted.Vote != r.vote
-	if r.installed != nil {
-		w.Snapshot, w.Reset, w.Sync = r.installed, true, true
-		r.installed = nil
+	if r.installedSnapshot != nil {
+		w.Snapshot, w.Reset, w.Sync = r.installedSnapshot, true, true
+		r.installedSnapshot = nil
 	}
 	if r.compacted {
 		w.Snapshot, w.Sync = r.log.snapshot, true
@@ -63,31 +64,32 @@
 	}
 }
 
-// Apply is what the state machine takes next: a snapshot first, if there is one.
+// Apply is what the state machine must apply next: the snapshot, if any, before the
+// entries.
 type Apply struct {
 	Snapshot *coordpb.Snapshot
 	Entries  []*coordpb.Entry
 }
 
-// Committed returns what is committed and synced here and has not come out yet.
+// Committed returns what is committed, synced on this member and not yet returned.
 func (r *Raft) Committed() Apply {
 	var a Apply
-	if r.restore != nil {
-		if r.installed != nil || (r.writing != nil && r.writing.Reset) {
+	if r.pendingRestore != nil {
+		if r.installedSnapshot != nil || (r.writing != nil && r.writing.Reset) {
 			return a
 		}
-		a.Snapshot, r.restore = r.restore, nil
-		r.log.handed = max(r.log.handed, a.Snapshot.Meta.Index)
+		a.Snapshot, r.pendingRestore = r.pendingRestore, nil
+		r.log.delivered = max(r.log.delivered, a.Snapshot.Meta.Index)
 	}
 	through := min(r.log.commit, r.log.stable)
-	if through > r.log.handed {
-		a.Entries = r.log.slice(r.log.handed, through)
-		r.log.handed = through
+	if through > r.log.delivered {
+		a.Entries = r.log.slice(r.log.delivered, through)
+		r.log.delivered = through
 	}
 	return a
 }
 
-// Status is how a member stands.
+// Status describes the state of a member.
 type Status struct {
 	ID      uint64
 	Term    uint64
@@ -95,23 +97,25 @@
 	Leader  uint64
 	Commit  uint64
 	Last    uint64
-	Members []*coordpb.Member // not to be changed
-	// Lease is the time until which this member may act as the leader; 0: not at
-	// all. The holder compares it with the time at which it acts.
+	Members []*coordpb.Member // must not be modified
+	// Lease is the time until which this member may act as the leader, on the clock of
+	// Tick; 0: no lease. The caller must compare it with the current time when it acts.
 	Lease time.Duration
-	// ActFrom is the index that must be applied before the leader acts: its state
-	// is older than what earlier leaders committed until then.
+	// ActFrom is the index that must be applied before the leader acts: until then its
+	// state may lack entries committed by earlier leaders.
 	ActFrom uint64
+	// Matched is, on a leader, the highest index known to be synced on each member.
 	Matched map[uint64]uint64
-	// Silent tells a leader how long it has not heard of each other member.
+	// Silent is, on a leader, the time since each other member's last reply, or since the
+	// leader started to track the member if that is later.
 	Silent map[uint64]time.Duration
-	// Heard tells a leader which other members have replied in its term.
+	// Heard reports, on a leader, which other members have replied in its term.
 	Heard map[uint64]bool
-	// SteppedDown is the newest loss of leadership of this member.
+	// SteppedDown is this member's latest loss of leadership.
 	SteppedDown StepDown
 }
 
-// Status returns how this member stands.
+// Status returns the state of this member.
 func (r *Raft) Status() Status {
 	s := Status{
 		ID: r.config.ID, Term: r.term, Role: r.role, Leader: r.leader,
@@ -121,13 +125,13 @@
 	if r.role != Leader {
 		return s
 	}
-	s.Lease, s.ActFrom = r.lead.lease, r.lead.firstOwn
+	s.Lease, s.ActFrom = r.leaderState.leaseUntil, r.leaderState.termStart
 	s.Matched = map[uint64]uint64{r.config.ID: r.log.stable}
 	s.Silent, s.Heard = map[uint64]time.Duration{}, map[uint64]bool{}
-	for id, p := range r.lead.progress {
+	for id, p := range r.leaderState.progress {
 		s.Matched[id] = p.match
-		s.Silent[id] = r.now - max(p.active, p.added)
-		s.Heard[id] = p.everActive
+		s.Silent[id] = r.now - max(p.lastReply, p.trackedSince)
+		s.Heard[id] = p.hasReplied
 	}
 	return s
 }
--- a/coord/consensus/stepdown.go
+++ b/coord/consensus/stepdown.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// StepDownReason says why a leader stopped leading.
+// StepDownReason is the reason why a leader stepped down.
 type StepDownReason string
 
-// The reasons of StepDown.
+// Values of StepDown.Reason.
 const (
-	NoQuorumContact StepDownReason = "no_quorum_contact" // no heartbeat round was answered by a majority for an election timeout
-	WriteStalled    StepDownReason = "write_stalled"     // the own disk
-	TransferExpired StepDownReason = "transfer_expired"  // leadership was handed over and not taken
-	HigherTerm      StepDownReason = "higher_term"       // another member stands or leads
+	NoQuorumContact StepDownReason = "no_quorum_contact" // no heartbeat round was acknowledged by a quorum for an election timeout
+	WriteStalled    StepDownReason = "write_stalled"     // a write to this member's disk took too long
+	TransferExpired StepDownReason = "transfer_expired"  // the transferee did not take over in time
+	HigherTerm      StepDownReason = "higher_term"       // another member started an election or was elected
 )
 
-// StepDown describes the newest loss of leadership of a member.
+// StepDown describes the latest loss of leadership of a member.
 type StepDown struct {
-	Term    uint64 // that it led; 0: it never stopped leading
+	Term    uint64 // the term in which it led; 0 if it never stepped down
 	Reason  StepDownReason
-	Contact time.Duration // since the newest heartbeat round that a majority answered was sent
+	Contact time.Duration // time since the latest heartbeat round acknowledged by a quorum was sent
 }
 
-// stepDown ends leadership without another leader.
+// stepDown ends leadership in the current term without a known successor.
 func (r *Raft) stepDown(reason StepDownReason) {
-	r.noteStepDown(reason)
+	r.recordStepDown(reason)
 	r.becomeFollower(r.term, 0)
 }
 
-func (r *Raft) noteStepDown(reason StepDownReason) {
-	r.steppedDown = StepDown{Term: r.term, Reason: reason, Contact: r.now - r.lead.contact}
+func (r *Raft) recordStepDown(reason StepDownReason) {
+	r.steppedDown = StepDown{Term: r.term, Reason: reason, Contact: r.now - r.leaderState.quorumContact}
 }
