--- a/server/view/addresses.go
+++ b/server/view/addresses.go
@@ -6,56 +6,59 @@
 	"time"
 )
 
-// suggestionLifetime is how long an address that was suggested is tried without being
-// suggested again. A dead one costs a whole poll's time in each turn.
-const suggestionLifetime = 10 * time.Second
+// suggestionTTL is how long a suggested address is tried unless it is suggested again.
+// A dead address costs a full poll timeout in each pass over the addresses.
+const suggestionTTL = 10 * time.Second
 
-// suggestions are control processes learned elsewhere than from control, with the time
-// until which each is tried.
+// suggestions maps the addresses of control processes that were learned from a source
+// other than control to the time at which each expires.
 type suggestions map[string]time.Time
 
-// Addresses returns the control processes that are known: those of the settings, those
-// that control told of, and those suggested lately. The caller owns the slice.
+// Addresses returns the addresses of all known control processes: those of the settings,
+// those that control reported, and the suggested ones that have not expired. The caller
+// owns the slice.
 func (f *Follower) Addresses() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.known()
+	return f.allAddresses()
 }
 
-// Confirmed returns the control processes that control itself told of, and those of the
-// settings. The caller owns the slice.
+// Confirmed returns the addresses of the control processes that control itself reported,
+// and those of the settings. The caller owns the slice.
 func (f *Follower) Confirmed() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.addresses)
 }
 
-// known returns all addresses. The caller holds mu.
-func (f *Follower) known() []string {
-	now := f.o.Now()
+// allAddresses returns all known addresses and drops expired suggestions. The caller
+// holds mu.
+func (f *Follower) allAddresses() []string {
+	now := f.options.Now()
 	maps.DeleteFunc(f.suggested, func(_ string, until time.Time) bool { return !now.Before(until) })
 	return append(slices.Clone(f.addresses), slices.Sorted(maps.Keys(f.suggested))...)
 }
 
-// Suggest adds control processes that were learned elsewhere, until the next answer
-// of control tells the present ones.
+// Suggest adds addresses of control processes that were learned from another source. They
+// are used until they expire or the next response of control lists the current members.
 func (f *Follower) Suggest(addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.suggest(addresses)
+	f.addSuggested(addresses)
 }
 
-// Prefer adds control processes, and has one of them asked next: it is known to answer.
+// Prefer adds addresses of control processes and polls address next, because it is known
+// to answer.
 func (f *Follower) Prefer(address string, others []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.suggest(append(slices.Clone(others), address))
+	f.addSuggested(append(slices.Clone(others), address))
 	f.preferred = address
 }
 
-// suggest notes addresses. The caller holds mu.
-func (f *Follower) suggest(addresses []string) {
-	until := f.o.Now().Add(suggestionLifetime)
+// addSuggested records addresses that are not confirmed yet. The caller holds mu.
+func (f *Follower) addSuggested(addresses []string) {
+	until := f.options.Now().Add(suggestionTTL)
 	for _, a := range addresses {
 		if !slices.Contains(f.addresses, a) {
 			f.suggested[a] = until
--- a/server/view/apply.go
+++ b/server/view/apply.go
@@ -12,19 +12,19 @@
 	"cowsliptiller/coord/state"
 )
 
-// build returns the snapshot that a view makes of the one before it, which stays
-// as it is. A delta that starts from another revision is refused: applied to the
-// wrong base it would leave rows out for good.
-func build(before *Snapshot, v *coordpb.View) (*Snapshot, error) {
+// applyView returns the snapshot that results from applying a view to the previous
+// snapshot, which is not modified. A delta from another revision than the previous
+// snapshot's is rejected: applied to the wrong base, it would permanently miss rows.
+func applyView(before *Snapshot, v *coordpb.View) (*Snapshot, error) {
 	if v.Since != 0 && (before == nil || before.Revision != v.Since) {
-		return nil, fault.New(fault.Internal, "delta since revision %d does not fit", v.Since)
+		return nil, fault.New(fault.Internal, "view is a delta from revision %d, which is not the revision held", v.Since)
 	}
 	s := emptySnapshot()
 	if v.Since != 0 {
 		s = clone(before)
 	}
 	s.Revision = v.Revision
-	if err := s.configure(v); err != nil {
+	if err := s.setConfiguration(v); err != nil {
 		return nil, err
 	}
 	d, err := deploymentOf(v)
@@ -35,10 +35,10 @@
 		s.Deployment, s.Routes = d, deployment.NewIndex(d)
 	}
 	for _, t := range v.Tombstones {
-		s.remove(t)
+		s.deleteRow(t)
 	}
-	s.add(v)
-	s.index()
+	s.upsertRows(v)
+	s.buildIndexes()
 	return s, nil
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// rows are the tables as control keeps them, from which the public maps are made.
+// rows holds the tables as control stores them. The exported maps are built from them.
 type rows struct {
 	keys     map[string]*coordpb.Key
 	hosts    map[string]*coordpb.Host
@@ -83,10 +83,10 @@
 	return n
 }
 
-// configure derives the configuration where the view brings a questionnaire. One
-// that this build cannot read is an error: following the rest of the view without
-// it would serve by rules that are no longer in force.
-func (s *Snapshot) configure(v *coordpb.View) error {
+// setConfiguration generates the configuration if the view contains a questionnaire. A
+// questionnaire that this version cannot parse is an error: applying the rest of the view
+// without it would serve requests under an outdated configuration.
+func (s *Snapshot) setConfiguration(v *coordpb.View) error {
 	text, err := questionnaireOf(v)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (s *Snapshot) remove(t *coordpb.Tombstone) {
+func (s *Snapshot) deleteRow(t *coordpb.Tombstone) {
 	switch t.Table {
 	case state.TableKey:
 		delete(s.rows.keys, t.Id)
@@ -115,7 +115,7 @@
 	}
 }
 
-func (s *Snapshot) add(v *coordpb.View) {
+func (s *Snapshot) upsertRows(v *coordpb.View) {
 	for _, k := range v.Keys {
 		s.rows.keys[k.KeyId] = k
 	}
@@ -130,8 +130,8 @@
 	}
 }
 
-// index fills the public maps.
-func (s *Snapshot) index() {
+// buildIndexes fills the exported maps from the rows.
+func (s *Snapshot) buildIndexes() {
 	for _, k := range s.rows.keys {
 		if len(k.Digest) == len(Digest{}) {
 			s.Keys[Digest(k.Digest)] = k
@@ -152,9 +152,10 @@
 	}
 }
 
-// indexHost prefers, of two agents that name one target, the one registered last.
+// indexHost adds a host to the maps. If two agents are registered for the same target, the
+// one registered last takes precedence.
 func (s *Snapshot) indexHost(h *coordpb.Host) {
-	if _, taken := s.Hosts[h.Host]; !taken {
+	if _, exists := s.Hosts[h.Host]; !exists {
 		s.Hosts[h.Host] = h
 	}
 	if h.Role != state.RoleAgent {
--- a/server/view/compress.go
+++ b/server/view/compress.go
@@ -8,13 +8,15 @@
 	"cowsliptiller/server/pack"
 )
 
-// maxDeploymentBytes bounds a deployment in a view: some hundred thousand routes.
+// maxDeploymentBytes limits the uncompressed size of a deployment in a view, which is
+// enough for some hundred thousand routes.
 const maxDeploymentBytes = 64 << 20
 
-// Compress shortens a view for the way. A questionnaire of 30,000 adapters has
-// 1.3 MB; sent as it is at 1,000 changes a day it would alone cost each host three
-// times what control may (docs/CAPACITY.md). Its lines are much alike, and so are the
-// routes of a deployment.
+// Compress gzips the large parts of a view for transfer, in place, and returns the view.
+// A questionnaire with 30,000 adapters has 1.3 MB: uncompressed, at 1,000 changes a day, it
+// alone would cost each host three times the bandwidth budget of control traffic
+// (docs/CAPACITY.md). Its lines are very similar and compress well, as do the routes of
+// a deployment.
 func Compress(v *coordpb.View) *coordpb.View {
 	if len(v.Questionnaire) > pack.Above {
 		v.QuestionnaireGzip, v.Questionnaire = pack.Small(v.Questionnaire), nil
@@ -24,14 +26,14 @@
 	}
 	data, err := proto.Marshal(v.Deployment)
 	if err != nil {
-		return v // as it is: the caller's encoder says what is wrong
+		return v // uncompressed: encoding the response reports the same error
 	}
 	v.DeploymentGzip, v.Deployment = pack.Small(data), nil
 	return v
 }
 
-// questionnaireOf returns the text of a view, nil where it brings none. Text that
-// grows beyond what a questionnaire may have is refused while it is read.
+// questionnaireOf returns the questionnaire of a view, nil if it contains none. Decompression
+// stops with an error once the text exceeds config.MaxQuestionnaireBytes.
 func questionnaireOf(v *coordpb.View) ([]byte, error) {
 	if len(v.QuestionnaireGzip) == 0 {
 		return v.Questionnaire, nil
@@ -39,7 +41,7 @@
 	return pack.Unpack(v.QuestionnaireGzip, config.MaxQuestionnaireBytes)
 }
 
-// deploymentOf returns the deployment of a view, nil where it brings none.
+// deploymentOf returns the deployment of a view, nil if it contains none.
 func deploymentOf(v *coordpb.View) (*coordpb.Deployment, error) {
 	if len(v.DeploymentGzip) == 0 {
 		return v.Deployment, nil
--- a/server/view/compress_test.go
+++ b/server/view/compress_test.go
@@ -22,19 +22,19 @@
 }
 
 var _ = Describe("a questionnaire on its way", func() {
-	It("is shortened where it is long, and comes out as it was", func() {
+	It("is compressed if it is large, and decompresses to the same text", func() {
 		text, err := os.ReadFile("../../examples/kyklos.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		v := Compress(&coordpb.View{Questionnaire: text})
 		Expect(v.Questionnaire).To(BeEmpty())
 		Expect(len(v.QuestionnaireGzip)).To(BeNumerically("<", len(text)/4))
-		back, err := questionnaireOf(v)
+		decompressed, err := questionnaireOf(v)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back).To(Equal(text))
+		Expect(decompressed).To(Equal(text))
 	})
 
-	// Guards against a control process whose link is saturated by views after each change.
-	It("is shortened where it is a deployment of many routes", func() {
+	// Guards against views that saturate the link of a control process after each change.
+	It("is compressed if it is a deployment with many routes", func() {
 		d := &coordpb.Deployment{Version: 7}
 		for i := range 4000 {
 			d.Routes = append(d.Routes, &coordpb.DeploymentRoute{Name: fmt.Sprintf("r-%x", i*7919), Host: "a.example", Prefix: fmt.Sprintf("/%x/", i*104729)})
@@ -42,16 +42,16 @@
 		v := Compress(&coordpb.View{Deployment: proto.CloneOf(d)})
 		Expect(v.Deployment).To(BeNil())
 		Expect(len(v.DeploymentGzip)).To(BeNumerically("<", proto.Size(d)/3))
-		back, err := deploymentOf(v)
+		decompressed, err := deploymentOf(v)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(proto.Equal(back, d)).To(BeTrue())
-		short := Compress(&coordpb.View{Deployment: &coordpb.Deployment{Version: 1}})
-		Expect(short.Deployment.Version).To(BeEquivalentTo(1))
+		Expect(proto.Equal(decompressed, d)).To(BeTrue())
+		small := Compress(&coordpb.View{Deployment: &coordpb.Deployment{Version: 1}})
+		Expect(small.Deployment.Version).To(BeEquivalentTo(1))
 	})
 
-	// A view of a few kilobytes unpacks to gigabytes, and every host that follows
-	// control runs out of memory at once.
-	It("is refused when it unpacks to more than a questionnaire may have", func() {
+	// Guards against a view of a few kilobytes that decompresses to gigabytes, so that
+	// all hosts that follow control run out of memory at the same time.
+	It("is rejected if it decompresses to more than the maximum size", func() {
 		var b bytes.Buffer
 		w := gzip.NewWriter(&b)
 		_, err := w.Write(make([]byte, config.MaxQuestionnaireBytes+1))
@@ -61,14 +61,14 @@
 		Expect(fault.Is(err, fault.TooLarge)).To(BeTrue())
 	})
 
-	It("has a length that grows little with its adapters", func() {
+	It("compresses to less than a quarter with 300 to 30,000 adapters", func() {
 		for _, n := range []int{300, 3_000, 30_000} {
 			var b bytes.Buffer
 			for i := range n {
 				fmt.Fprintf(&b, "  - {name: team%03d-adapter-%05d, model: model-%03d, size: %dMiB}\n", i*7919%500, i, i*104729%300, 24+i*31%60)
 			}
 			v := Compress(&coordpb.View{Questionnaire: b.Bytes()})
-			AddReportEntry(fmt.Sprintf("%d adapters", n), fmt.Sprintf("%d bytes, %d on the way", b.Len(), len(v.QuestionnaireGzip)))
+			AddReportEntry(fmt.Sprintf("%d adapters", n), fmt.Sprintf("%d bytes, %d compressed", b.Len(), len(v.QuestionnaireGzip)))
 			Expect(len(v.QuestionnaireGzip)).To(BeNumerically("<", b.Len()/4))
 		}
 	})
--- a/server/view/doc.go
+++ b/server/view/doc.go
@@ -1,4 +1,4 @@
-// Package view is what entry hosts and agents know of the control state: an
-// immutable snapshot, followed by long polls, that never goes back to a lower
-// revision, and a freshness lease that says until when it may be acted on.
+// Package view replicates the control state to entry hosts and agents. A Follower keeps an
+// immutable snapshot up to date by long polls, never returns to a lower revision, and
+// maintains a freshness lease, which limits how long the snapshot may be used.
 package view
--- a/server/view/follower.go
+++ b/server/view/follower.go
@@ -14,74 +14,75 @@
 	"cowsliptiller/server/rpc"
 )
 
-// Times of the follower. docs/design/freshness.md derives them together with the
-// freshness lease: one silent control host must be given up, and the next one
-// asked, before the lease from the last answer ends.
+// Timeouts of the follower. docs/design/freshness.md derives them together with the
+// freshness lease: the poll of one unresponsive control host must time out, and the next
+// host must be polled, before the lease from the last response expires.
 const (
-	// pollWait is how long control may hold a poll when nothing changed.
+	// pollWait is how long control may hold a poll while nothing changes.
 	pollWait = 500 * time.Millisecond
-	// answerTime is allowed on top for the way, for control's own barrier, and
-	// for a connection that went silent.
-	answerTime = 1200 * time.Millisecond
-	// leastBackoff and mostBackoff bound the wait after a failed poll. The first
-	// failure goes to the next address almost at once.
-	leastBackoff = 10 * time.Millisecond
-	mostBackoff  = 500 * time.Millisecond
-	// spreadOver is above any number of control processes: each follower begins with
-	// another one of those that it knows then.
-	spreadOver = 1 << 10
-	// backoffDoublings keeps the shift from overflowing.
-	backoffDoublings = 6
+	// answerTimeout is added to pollWait for network latency, control's read barrier
+	// and unresponsive connections.
+	answerTimeout = 1200 * time.Millisecond
+	// minBackoff and maxBackoff limit the delay after a failed poll. minBackoff is
+	// short, so that the next address is polled almost immediately after a first failure.
+	minBackoff = 10 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
+	// startIndexRange is the range of the random start index, which is taken modulo the
+	// number of addresses. It exceeds any number of control processes, so that followers
+	// spread their first polls over all known addresses.
+	startIndexRange = 1 << 10
+	// maxBackoffDoublings prevents an overflow of the shift that doubles the delay.
+	maxBackoffDoublings = 6
 )
 
-// FollowerOptions are a follower's fixed parts.
+// FollowerOptions configures a Follower.
 type FollowerOptions struct {
-	Caller    *rpc.Caller                          // who follows; told with every poll
-	Addresses []string                             // IP:port of control processes; more are learned from answers
+	Caller    *rpc.Caller                          // identifies this process in every poll
+	Addresses []string                             // IP:port of control processes; responses add more
 	Client    *http.Client                         // for the default Dial
 	Dial      func(address string) rpc.Control     // nil: twirp over Client
-	Report    func() *rpc.ReplicaReport            // agents: read before every poll; nil for entry hosts
-	Now       func() time.Time                     // nil: time.Now; must carry a monotonic reading
+	Report    func() *rpc.ReplicaReport            // called before every poll by agents; nil for entry hosts
+	Now       func() time.Time                     // nil: time.Now; must return a monotonic clock reading
 	After     func(time.Duration) <-chan time.Time // nil: time.After
-	Random    *rand.Rand                           // nil: seeded by the runtime; used by Run alone
-	Log       hclog.Logger                         // nil: no log
+	Random    *rand.Rand                           // nil: randomly seeded; used only by Run
+	Log       hclog.Logger                         // nil: no logging
 }
 
-// Follower keeps a process's view of the control state by long polls.
+// Follower keeps a process's view of the control state up to date by long polls.
 //
-// It never applies a lower revision, so that a control host that fell behind, or
-// answers that cross, cannot bring back a withdrawn key or an old configuration.
-// A process that restarts holds nothing, and control answers a first poll only
-// behind a barrier; the first view is then at least as new as any that was
-// acknowledged before.
+// It never applies a lower revision, so that a control host that lags behind, or
+// responses that arrive out of order, cannot restore a withdrawn key or an old
+// configuration. A process starts without a snapshot after a restart, and control
+// answers a first poll only after a read barrier, so that the first view is at least as
+// new as any that was acknowledged before.
 //
-// The freshness lease counts from the moment at which the poll was sent, by the
-// monotonic clock: the time that the answer was under way, or that this process
-// stood still, uses the lease up. See lease for a machine that stood still.
+// The freshness lease starts when the poll is sent, by the monotonic clock: the time that
+// the response takes, or for which this process is paused, counts against the lease. See
+// lease for machines that are suspended.
 //
-// Call Fresh before Current. The other way round a process that is stopped
-// between the two calls would hold an old snapshot and ask about a new lease.
+// Call Fresh before Current. In the reverse order, a process that is paused between the
+// two calls would use an old snapshot under a new lease.
 type Follower struct {
-	o       FollowerOptions
+	options FollowerOptions
 	clients *rpc.Clients[rpc.Control]
-	next    int  // index into the addresses; used by Run alone
-	failed  bool // the last poll; used by Run alone
+	next    int  // index into the addresses; used only by Run
+	failed  bool // whether the last poll failed; used only by Run
 
-	mu        sync.Mutex
-	current   *Snapshot
-	lease     lease
-	changed   chan struct{}
-	renewed   chan struct{} // closed at the next answer that extends the lease
-	silent    time.Time     // since when polls fail; zero: the last one was answered
-	addresses []string      // those of the settings, then those that control told
-	suggested suggestions
-	preferred string // asked next; "": in turn
-	leader    string
-	ledAnew   chan struct{} // closed when leader changes
-	control   rpc.Control   // that answered last
+	mu            sync.Mutex
+	current       *Snapshot
+	lease         lease
+	changed       chan struct{}
+	renewed       chan struct{} // closed by the next response that renews the lease
+	failingSince  time.Time     // start of the period without a successful poll; zero: the last poll succeeded
+	addresses     []string      // those of the settings, then those that control reported
+	suggested     suggestions
+	preferred     string // polled next; "": the address at index next
+	leader        string
+	leaderChanged chan struct{} // closed when leader changes
+	control       rpc.Control   // client of the control process that answered last
 }
 
-// NewFollower returns a follower that holds nothing yet. Run makes it follow.
+// NewFollower returns a follower without a snapshot. Call Run to start polling.
 func NewFollower(o FollowerOptions) *Follower {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -100,7 +101,7 @@
 		o.Dial = func(address string) rpc.Control { return rpc.NewControlProtobufClient("http://"+address, client) }
 	}
 	return &Follower{
-		o: o, clients: rpc.NewClients(o.Dial), changed: make(chan struct{}), renewed: make(chan struct{}), ledAnew: make(chan struct{}), silent: o.Now(),
+		options: o, clients: rpc.NewClients(o.Dial), changed: make(chan struct{}), renewed: make(chan struct{}), leaderChanged: make(chan struct{}), failingSince: o.Now(),
 		addresses: slices.Clone(o.Addresses), suggested: suggestions{},
 	}
 }
@@ -116,7 +117,7 @@
 func (f *Follower) Fresh(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lease.holds(now, now.Round(0))
+	return f.lease.valid(now, now.Round(0))
 }
 
 // Changed implements Source.
@@ -126,51 +127,51 @@
 	return f.changed
 }
 
-// Renewed returns a channel that is closed when the lease is extended next.
+// Renewed returns a channel that is closed when the lease is next renewed.
 func (f *Follower) Renewed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.renewed
 }
 
-// Silent returns for how long no poll has been answered; zero while polls are answered.
+// Silent returns for how long no poll has succeeded; zero if the last poll succeeded.
 func (f *Follower) Silent(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.silent.IsZero() {
+	if f.failingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(f.silent)
+	return now.Sub(f.failingSince)
 }
 
-// noteFailed begins the silence, unless an earlier poll did.
-func (f *Follower) noteFailed() {
+// recordFailure sets failingSince, unless an earlier failed poll has set it.
+func (f *Follower) recordFailure() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.silent.IsZero() {
-		f.silent = f.o.Now()
+	if f.failingSince.IsZero() {
+		f.failingSince = f.options.Now()
 	}
 }
 
-// Led returns the address of the control process that leads, as last told, "" when it is
-// not known, and a channel that is closed when another one is told.
+// Led returns the last reported address of the control leader, "" if it is unknown, and a
+// channel that is closed when the reported address changes.
 func (f *Follower) Led() (address string, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.leader, f.ledAnew
+	return f.leader, f.leaderChanged
 }
 
-// Control returns a client of the control process that answered last; nil before
-// the first answer. Any control process takes any call.
+// Control returns a client of the control process that answered last; nil before the
+// first response. Any control process accepts any call.
 func (f *Follower) Control() rpc.Control {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.control
 }
 
-// Run polls until the context ends. It returns the context's error.
+// Run polls until ctx is done and returns its error.
 func (f *Follower) Run(ctx context.Context) error {
-	f.next = f.o.Random.IntN(spreadOver)
+	f.next = f.options.Random.IntN(startIndexRange)
 	failures := 0
 	for ctx.Err() == nil {
 		err := f.Poll(ctx)
@@ -178,63 +179,64 @@
 			failures = 0
 			continue
 		}
-		f.o.Log.Debug("poll of control failed", "error", err)
+		f.options.Log.Debug("poll of control failed", "error", err)
 		f.next++
-		f.pause(ctx, failures)
-		failures = min(failures+1, backoffDoublings)
+		f.backOff(ctx, failures)
+		failures = min(failures+1, maxBackoffDoublings)
 	}
 	return ctx.Err()
 }
 
-// pause waits between half and the whole of the backoff, so that followers that
-// lost the same control host do not come to the next one together.
-func (f *Follower) pause(ctx context.Context, failures int) {
-	limit := min(leastBackoff<<failures, mostBackoff)
-	wait := limit/2 + time.Duration(f.o.Random.Int64N(int64(limit/2)+1))
+// backOff waits for a random time between half of the backoff delay and all of it, so that
+// followers that lost the same control host do not all poll the next one at the same time.
+func (f *Follower) backOff(ctx context.Context, failures int) {
+	limit := min(minBackoff<<failures, maxBackoff)
+	wait := limit/2 + time.Duration(f.options.Random.Int64N(int64(limit/2)+1))
 	select {
 	case <-ctx.Done():
-	case <-f.o.After(wait):
+	case <-f.options.After(wait):
 	}
 }
 
-// Poll asks one control process once. Run calls it in a loop; it is exported for
-// processes that bring their own loop.
+// Poll polls one control process once. Run calls it in a loop; it is exported for
+// processes that have their own loop.
 func (f *Follower) Poll(ctx context.Context) error {
-	address, since := f.target()
+	address, since := f.nextPoll()
 	if address == "" {
-		return fault.New(fault.Unavailable, "no control address is known")
+		return fault.New(fault.Unavailable, "no address of a control process is known")
 	}
 	client := f.clients.At(address)
-	req := &rpc.SyncRequest{Caller: f.o.Caller, Since: since, WaitMs: uint32(f.wait().Milliseconds())}
-	if f.o.Report != nil {
-		req.Report = f.o.Report()
+	req := &rpc.SyncRequest{Caller: f.options.Caller, Since: since, WaitMs: uint32(f.holdTime().Milliseconds())}
+	if f.options.Report != nil {
+		req.Report = f.options.Report()
 	}
-	ctx, cancel := context.WithTimeout(ctx, pollWait+answerTime)
+	ctx, cancel := context.WithTimeout(ctx, pollWait+answerTimeout)
 	defer cancel()
-	sent := f.o.Now()
+	sent := f.options.Now()
 	resp, err := client.Sync(ctx, req)
 	if err == nil {
-		err = f.receive(sent, resp)
+		err = f.applyResponse(sent, resp)
 	}
 	f.failed = err != nil
 	if err != nil {
-		f.noteFailed()
+		f.recordFailure()
 		return rpc.FromTwirp(err)
 	}
-	f.learn(resp, client, address)
+	f.updateControl(resp, client, address)
 	return nil
 }
 
-// wait is how long control may hold the next poll. After a failed one the lease is
-// short already, and control answers at once.
-func (f *Follower) wait() time.Duration {
+// holdTime returns how long control may hold the next poll. It is 0 after a failed poll:
+// part of the lease has passed by then, and a response is needed immediately.
+func (f *Follower) holdTime() time.Duration {
 	if f.failed {
 		return 0
 	}
 	return pollWait
 }
 
-func (f *Follower) target() (address string, since uint64) {
+// nextPoll returns the address to poll, "" if none is known, and the revision that is held.
+func (f *Follower) nextPoll() (address string, since uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.current != nil {
@@ -243,43 +245,44 @@
 	if address, f.preferred = f.preferred, ""; address != "" {
 		return address, since
 	}
-	addresses := f.known()
+	addresses := f.allAddresses()
 	if len(addresses) == 0 {
 		return "", since
 	}
 	return addresses[f.next%len(addresses)], since
 }
 
-// receive takes an answer over. One with a lower revision changes nothing and
-// renews nothing: its sender is behind, and so would the lease be.
-func (f *Follower) receive(sent time.Time, resp *rpc.SyncResponse) error {
+// applyResponse applies the view of a response and renews the lease. A response with a
+// lower revision does neither: its sender lags behind, and its lease would be for
+// outdated state.
+func (f *Follower) applyResponse(sent time.Time, resp *rpc.SyncResponse) error {
 	v := resp.GetView()
 	before := f.Current()
 	if v == nil {
-		return fault.New(fault.Internal, "an answer without a view came")
+		return fault.New(fault.Internal, "response of control contains no view")
 	}
 	if before != nil && v.Revision < before.Revision {
-		return fault.New(fault.Stale, "control is at revision %d, this process at %d", v.Revision, before.Revision)
+		return fault.New(fault.Stale, "control process is at revision %d, behind revision %d of this process", v.Revision, before.Revision)
 	}
 	if before != nil && v.Revision == before.Revision {
-		f.renew(before, sent, resp.FreshnessMs)
+		f.publish(before, sent, resp.FreshnessMs)
 		return nil
 	}
-	after, err := build(before, v)
+	after, err := applyView(before, v)
 	if err != nil {
 		return err
 	}
-	f.renew(after, sent, resp.FreshnessMs)
+	f.publish(after, sent, resp.FreshnessMs)
 	return nil
 }
 
-// renew publishes a snapshot and its lease in one step. Only Run's goroutine
-// calls it, so that nothing newer can have been published meanwhile.
-func (f *Follower) renew(s *Snapshot, sent time.Time, freshnessMs uint32) {
+// publish sets the snapshot and its lease atomically. It is called only by Run's
+// goroutine, so that no newer snapshot can have been published in the meantime.
+func (f *Follower) publish(s *Snapshot, sent time.Time, freshnessMs uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lease.extend(sent.Add(time.Duration(freshnessMs) * time.Millisecond))
-	f.silent = time.Time{}
+	f.failingSince = time.Time{}
 	close(f.renewed)
 	f.renewed = make(chan struct{})
 	if s == f.current {
@@ -290,18 +293,19 @@
 	f.changed = make(chan struct{})
 }
 
-// learn keeps the addresses that control tells, after those of the settings, which
-// stay for good: a group that moved while this process was cut off is found by them.
-func (f *Follower) learn(resp *rpc.SyncResponse, client rpc.Control, asked string) {
+// updateControl records the leader, the client that answered, and the addresses that
+// control reported. The addresses of the settings always stay and come first: they find a
+// control group that was moved while this process was disconnected.
+func (f *Follower) updateControl(resp *rpc.SyncResponse, client rpc.Control, asked string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leader != resp.LeaderAddress {
 		f.leader = resp.LeaderAddress
-		close(f.ledAnew)
-		f.ledAnew = make(chan struct{})
+		close(f.leaderChanged)
+		f.leaderChanged = make(chan struct{})
 	}
 	f.control = client
-	known := slices.Clone(f.o.Addresses)
+	known := slices.Clone(f.options.Addresses)
 	for _, a := range resp.ControlAddresses {
 		if !slices.Contains(known, a) {
 			known = append(known, a)
--- a/server/view/snapshot.go
+++ b/server/view/snapshot.go
@@ -8,34 +8,35 @@
 	"cowsliptiller/coord/deployment"
 )
 
-// Digest is the SHA-256 of a caller's key.
+// Digest is the SHA-256 digest of a caller's key.
 type Digest [32]byte
 
-// Snapshot is the view at one revision. It is never changed once published.
+// Snapshot is the view at one revision. It is immutable once published.
 type Snapshot struct {
 	Revision      uint64
 	Configuration *config.Configuration // nil before the first questionnaire
-	Deployment    *coordpb.Deployment   // nil before the platform's first document
-	Routes        *deployment.Index     // of Deployment; nil without one
+	Deployment    *coordpb.Deployment   // nil before the first deployment
+	Routes        *deployment.Index     // index of Deployment; nil without one
 	Keys          map[Digest]*coordpb.Key
 	Hosts         map[string]*coordpb.Host      // by host name
 	AgentOf       map[string]*coordpb.Host      // by target name
-	Replicas      map[string][]*coordpb.Replica // by model, in order of target name
+	Replicas      map[string][]*coordpb.Replica // by model, sorted by target name
 	Strikes       map[string]*coordpb.Strikes   // by StrikeID
 
 	rows rows
 }
 
-// StrikeID names the strikes of one request inside its workspace.
+// StrikeID returns the key in Snapshot.Strikes for a request fingerprint in a workspace.
 func StrikeID(workspace string, fingerprint []byte) string {
 	return workspace + "/" + string(fingerprint)
 }
 
-// Source gives the newest snapshot and says whether it may be acted on.
+// Source provides the newest snapshot and reports whether it may be used.
 type Source interface {
 	// Current returns the newest snapshot, nil before the first one.
 	Current() *Snapshot
-	// Fresh reports whether the freshness lease holds at now (monotonic).
+	// Fresh reports whether the freshness lease is valid at now, which must have a
+	// monotonic clock reading.
 	Fresh(now time.Time) bool
 	// Changed returns a channel that is closed when Current is replaced.
 	Changed() <-chan struct{}
--- a/server/view/suite_test.go
+++ b/server/view/suite_test.go
@@ -17,66 +17,66 @@
 	"cowsliptiller/server/view"
 )
 
-// init fixes the seed, so that a run gives the same verdict each time.
+// init sets a fixed seed, so that test runs are reproducible.
 func init() {
 	if err := flag.Set("rapid.seed", "4"); err != nil {
 		panic(err)
 	}
 }
 
-// scripted answers a poll with what the test says.
-type scripted struct {
+// fakeControl is a control client that answers polls with a function of the test.
+type fakeControl struct {
 	rpc.Control
 	answer func(*rpc.SyncRequest) (*rpc.SyncResponse, error)
 }
 
-func (s *scripted) Sync(_ context.Context, r *rpc.SyncRequest) (*rpc.SyncResponse, error) {
+func (s *fakeControl) Sync(_ context.Context, r *rpc.SyncRequest) (*rpc.SyncResponse, error) {
 	return s.answer(r)
 }
 
-// clock is set by the test.
+// clock is a manually advanced clock.
 type clock struct{ now time.Time }
 
 func (c *clock) Now() time.Time { return c.now }
 
-func follower(c *clock, s *scripted) *view.Follower {
+func follower(c *clock, s *fakeControl) *view.Follower {
 	return view.NewFollower(view.FollowerOptions{
 		Caller: &rpc.Caller{Host: "e"}, Addresses: []string{"127.0.0.1:1"},
 		Dial: func(string) rpc.Control { return s }, Now: c.Now,
 	})
 }
 
-func answering(v *coordpb.View, freshnessMs uint32) *scripted {
-	return &scripted{answer: func(*rpc.SyncRequest) (*rpc.SyncResponse, error) {
+func respondingWith(v *coordpb.View, freshnessMs uint32) *fakeControl {
+	return &fakeControl{answer: func(*rpc.SyncRequest) (*rpc.SyncResponse, error) {
 		return &rpc.SyncResponse{View: v, FreshnessMs: freshnessMs}, nil
 	}}
 }
 
 var background = context.Background()
 
-// A control host that fell behind answers an entry host that already holds a newer
-// view: the older one still has a withdrawn key, and its lease is as old.
+// Guards against applying the view of a control host that lags behind: it could still
+// contain a withdrawn key, and its lease would be for outdated state.
 func TestALowerRevisionChangesAndRenewsNothing(t *testing.T) {
 	g := NewWithT(t)
 	c := &clock{time.Unix(1000, 0)}
-	s := answering(&coordpb.View{Revision: 5}, 1000)
+	s := respondingWith(&coordpb.View{Revision: 5}, 1000)
 	f := follower(c, s)
 	g.Expect(f.Poll(background)).To(Succeed())
 	g.Expect(f.Current().Revision).To(Equal(uint64(5)))
 	c.now = c.now.Add(999 * time.Millisecond)
-	s.answer = answering(&coordpb.View{Revision: 4}, 1000).answer
+	s.answer = respondingWith(&coordpb.View{Revision: 4}, 1000).answer
 	g.Expect(fault.Is(f.Poll(background), fault.Stale)).To(BeTrue())
 	g.Expect(f.Current().Revision).To(Equal(uint64(5)))
 	g.Expect(f.Fresh(c.now)).To(BeTrue())
 	g.Expect(f.Fresh(c.now.Add(time.Millisecond))).To(BeFalse())
 }
 
-// The answer was three seconds on its way, or the process stood still: what it says
-// is three seconds old.
+// Guards against a lease that starts when the response arrives: a response that took three
+// seconds, or was read by a process paused for as long, is already three seconds old.
 func TestTheLeaseCountsFromSending(t *testing.T) {
 	g := NewWithT(t)
 	c := &clock{time.Unix(1000, 0)}
-	s := &scripted{}
+	s := &fakeControl{}
 	s.answer = func(*rpc.SyncRequest) (*rpc.SyncResponse, error) {
 		c.now = c.now.Add(3 * time.Second)
 		return &rpc.SyncResponse{View: &coordpb.View{Revision: 1}, FreshnessMs: 3000}, nil
@@ -88,24 +88,25 @@
 	g.Expect(f.Fresh(c.now)).To(BeFalse())
 }
 
-// A delta that starts from another revision than the holder's would leave rows out.
+// Guards against applying a delta from another revision than the follower's, which would
+// miss rows.
 func TestADeltaThatDoesNotFitIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	c := &clock{time.Unix(1000, 0)}
-	s := answering(&coordpb.View{Revision: 5}, 1000)
+	s := respondingWith(&coordpb.View{Revision: 5}, 1000)
 	f := follower(c, s)
 	g.Expect(f.Poll(background)).To(Succeed())
-	s.answer = answering(&coordpb.View{Revision: 9, Since: 7}, 1000).answer
+	s.answer = respondingWith(&coordpb.View{Revision: 9, Since: 7}, 1000).answer
 	g.Expect(f.Poll(background)).NotTo(Succeed())
 	g.Expect(f.Current().Revision).To(Equal(uint64(5)))
-	s.answer = answering(&coordpb.View{Revision: 9, Questionnaire: []byte("x: [")}, 1000).answer
+	s.answer = respondingWith(&coordpb.View{Revision: 9, Questionnaire: []byte("x: [")}, 1000).answer
 	g.Expect(f.Poll(background)).NotTo(Succeed())
 	g.Expect(f.Current().Revision).To(Equal(uint64(5)))
 }
 
 func TestChangedIsClosedWhenTheSnapshotIsReplaced(t *testing.T) {
 	g := NewWithT(t)
-	s := answering(&coordpb.View{Revision: 5}, 1000)
+	s := respondingWith(&coordpb.View{Revision: 5}, 1000)
 	f := follower(&clock{time.Unix(1000, 0)}, s)
 	first := f.Changed()
 	g.Expect(f.Poll(background)).To(Succeed())
@@ -115,7 +116,7 @@
 	g.Expect(second).NotTo(BeClosed())
 }
 
-// agent returns a command that registers a host.
+// register returns a command that registers a host.
 func register(host, role, target string) *coordpb.Command {
 	return &coordpb.Command{Change: &coordpb.Command_RegisterHost{RegisterHost: &coordpb.RegisterHost{
 		Host: host, Role: role, Target: target, Incarnation: "i", FailureDomain: "a"}}}
@@ -125,16 +126,16 @@
 	return &coordpb.Command{Change: &coordpb.Command_ForgetHost{ForgetHost: &coordpb.ForgetHost{Host: host}}}
 }
 
-// Control hosts that are at different points of one history answer in any order,
-// with answers lost and late. The holder's revision never falls, its rows are those
-// of its revision, and its lease never outlasts what was granted.
+// Control hosts at different revisions of one history answer in any order; responses are
+// lost or delayed. The follower's revision never decreases, its rows match the state at its
+// revision, and its lease never exceeds the granted time.
 func TestFollowerAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := []*state.State{state.New()}
 		c := &clock{time.Unix(1000, 0)}
-		s := &scripted{}
+		s := &fakeControl{}
 		f := follower(c, s)
-		held, until := uint64(0), time.Time{}
+		revision, leaseEnd := uint64(0), time.Time{}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				data, _ := history[len(history)-1].Snapshot()
@@ -148,17 +149,17 @@
 			"poll": func(t *rapid.T) {
 				from := history[rapid.IntRange(0, len(history)-1).Draw(t, "control host")]
 				lost := rapid.Bool().Draw(t, "lost")
-				way := time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
+				delay := time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
 				sent := c.now
 				s.answer = func(r *rpc.SyncRequest) (*rpc.SyncResponse, error) {
-					c.now = c.now.Add(way)
+					c.now = c.now.Add(delay)
 					if lost {
 						return nil, context.DeadlineExceeded
 					}
 					return &rpc.SyncResponse{View: from.View(r.Since), FreshnessMs: 1000}, nil
 				}
 				if err := f.Poll(background); err == nil {
-					held, until = from.Revision(), sent.Add(time.Second)
+					revision, leaseEnd = from.Revision(), sent.Add(time.Second)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -166,11 +167,11 @@
 				if now == nil {
 					return
 				}
-				if now.Revision != held {
-					t.Fatalf("holds revision %d, took %d", now.Revision, held)
+				if now.Revision != revision {
+					t.Fatalf("revision of the snapshot is %d, want %d", now.Revision, revision)
 				}
-				if f.Fresh(until) {
-					t.Fatalf("fresh at the end of its lease")
+				if f.Fresh(leaseEnd) {
+					t.Fatalf("Fresh is true at the end of the lease")
 				}
 				sameHosts(t, now, history)
 			},
@@ -178,7 +179,7 @@
 	})
 }
 
-// sameHosts compares the snapshot with the state of its revision.
+// sameHosts compares the hosts of the snapshot with those of the state at its revision.
 func sameHosts(t *rapid.T, now *view.Snapshot, history []*state.State) {
 	for _, s := range history {
 		if s.Revision() != now.Revision {
@@ -186,11 +187,11 @@
 		}
 		hosts := s.Hosts()
 		if len(hosts) != len(now.Hosts) {
-			t.Fatalf("%d hosts, the state has %d", len(now.Hosts), len(hosts))
+			t.Fatalf("snapshot has %d hosts, state has %d", len(now.Hosts), len(hosts))
 		}
 		for _, h := range hosts {
 			if now.Hosts[h.Host].GetTarget() != h.Target || now.AgentOf[h.Target] == nil {
-				t.Fatalf("host %v, the state has %v", now.Hosts[h.Host], h)
+				t.Fatalf("snapshot has host %v, state has %v", now.Hosts[h.Host], h)
 			}
 		}
 	}
