--- a/server/failover/control.go
+++ b/server/failover/control.go
@@ -14,44 +14,46 @@
 	"cowsliptiller/server/rpc"
 )
 
-// attemptTime bounds one control process's turn. A control process that was cut
-// off silently gives neither an answer nor an error; a caller would wait for its
-// whole deadline there. One and a half seconds is above an election with the
-// default tick (10 to 20 ticks of 50 ms) and the commit after it.
-const attemptTime = 1500 * time.Millisecond
+// attemptTimeout limits one attempt at one control process, besides the time to transfer
+// the request. A process behind a partition that drops packets returns neither a response
+// nor an error, so that a caller would wait there until its deadline. 1.5 s exceeds an
+// election with the default tick (10 to 20 ticks of 50 ms) and the commit that follows it.
+const attemptTimeout = 1500 * time.Millisecond
 
-// attemptTimeOf bounds the turn of a call: a large one must not be given up, and sent
-// again, while it is still on its way.
-func attemptTimeOf(call proto.Message) time.Duration {
-	return attemptTime + time.Duration(proto.Size(call))*time.Second/process.SlowestLink
+// attemptTimeoutFor returns the timeout of one attempt to send a request, including its
+// transfer over the slowest supported link: a large request must not time out, and be sent
+// again, during the transfer.
+func attemptTimeoutFor(call proto.Message) time.Duration {
+	return attemptTimeout + time.Duration(proto.Size(call))*time.Second/process.SlowestLink
 }
 
-// Peers says which control processes there are now, in any order.
+// Peers provides the current control processes and their leader.
 type Peers interface {
 	Leaders
-	// Addresses returns IP:port of each.
+	// Addresses returns IP:port of each control process, in any order. The caller owns
+	// the slice.
 	Addresses() []string
 }
 
-// Control is an rpc.Control over several control processes.
+// Control is an rpc.Control that fails over between several control processes.
 type Control struct {
 	peers   Peers
 	clients *rpc.Clients[rpc.Control]
 
-	mu    sync.Mutex // guards first; a leaf
-	first string     // the one that answered last
+	mu           sync.Mutex // guards lastAnswered; no other lock is acquired while it is held
+	lastAnswered string     // address of the process that answered last
 }
 
-// NewControl returns a client that dials each address at its first use.
+// NewControl returns a client that dials each address on first use.
 func NewControl(peers Peers, dial func(address string) rpc.Control) *Control {
 	return &Control{peers: peers, clients: rpc.NewClients(dial)}
 }
 
 var _ rpc.Control = (*Control)(nil)
 
-// order returns the addresses: first the leader, which the others would pass most calls
-// on to, then the one that answered last.
-func (c *Control) order() []string {
+// ordered returns the addresses in the order of preference: first the leader, to which the
+// others forward most calls, then the process that answered last.
+func (c *Control) ordered() []string {
 	addresses := c.peers.Addresses()
 	leader, _ := c.peers.Led()
 	c.mu.Lock()
@@ -60,7 +62,7 @@
 		switch address {
 		case leader:
 			return 0
-		case c.first:
+		case c.lastAnswered:
 			return 1
 		}
 		return 2
@@ -69,9 +71,9 @@
 	return addresses
 }
 
-// next returns the best address that was not tried yet, "" when all were.
-func (c *Control) next(tried []string) string {
-	for _, a := range c.order() {
+// nextUntried returns the preferred address that is not in tried, "" if there is none.
+func (c *Control) nextUntried(tried []string) string {
+	for _, a := range c.ordered() {
 		if !slices.Contains(tried, a) {
 			return a
 		}
@@ -79,28 +81,28 @@
 	return ""
 }
 
-func (c *Control) answered(address string) {
+func (c *Control) setLastAnswered(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.first = address
+	c.lastAnswered = address
 }
 
-// call tries the control processes in turn. Each call of the interface may reach
-// control twice without harm: claims, settlements, confirmations and strikes are
-// told apart by attempt or fencing number, draws by their sequence.
+// call tries the control processes one after the other. A call may reach control twice,
+// which is safe for every method of the interface: claims, settlements, confirmations and
+// strikes are identified by attempt or fencing number, draws by their sequence number.
 func call[Q proto.Message, A any](ctx context.Context, c *Control, q Q, do func(rpc.Control, context.Context, Q) (A, error)) (A, error) {
 	var zero A
-	err := fault.New(fault.Unavailable, "no control process is known")
+	err := fault.New(fault.Unavailable, "no address of a control process is known")
 	var tried []string
-	for address := c.next(nil); address != ""; address = c.next(tried) {
+	for address := c.nextUntried(nil); address != ""; address = c.nextUntried(tried) {
 		tried = append(tried, address)
 		var answer A
 		answer, err = attempt(ctx, c, address, q, do)
 		if err == nil {
-			c.answered(address)
+			c.setLastAnswered(address)
 			return answer, nil
 		}
-		if ctx.Err() != nil || !another(err) {
+		if ctx.Err() != nil || !retryable(err) {
 			return zero, err
 		}
 	}
@@ -108,15 +110,16 @@
 }
 
 func attempt[Q proto.Message, A any](ctx context.Context, c *Control, address string, q Q, do func(rpc.Control, context.Context, Q) (A, error)) (A, error) {
-	ctx, cancel := context.WithTimeout(ctx, attemptTimeOf(q))
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeoutFor(q))
 	defer cancel()
-	ctx, stop := whileLed(ctx, c.peers, address)
+	ctx, stop := cancelOnLeaderChange(ctx, c.peers, address)
 	defer stop()
 	return do(c.clients.At(address), ctx, q)
 }
 
-// another reports whether another control process may do better.
-func another(err error) bool {
+// retryable reports whether a call that failed with err may succeed at another control
+// process.
+func retryable(err error) bool {
 	switch fault.From(rpc.FromTwirp(err)).Kind {
 	case fault.Unavailable, fault.NotLeader, fault.NoQuorum, fault.Stale, fault.Leaving, fault.Timeout, fault.Canceled:
 		return true
@@ -179,8 +182,8 @@
 	return call(ctx, c, q, rpc.Control.Observe)
 }
 
-// Adopt implements rpc.Control. A deployment names its own version, so that a
-// second commit of it changes nothing.
+// Adopt implements rpc.Control. A deployment contains its version, so that committing it
+// twice changes nothing.
 func (c *Control) Adopt(ctx context.Context, q *rpc.AdoptRequest) (*rpc.AdoptResponse, error) {
 	return call(ctx, c, q, rpc.Control.Adopt)
 }
--- a/server/failover/control_test.go
+++ b/server/failover/control_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "failover")
 }
 
-// member is a control process that answers claims, or fails them.
+// member is a control process that answers claims, with an error if err is set.
 type member struct {
 	rpc.Control
 	err   error
@@ -35,7 +35,7 @@
 	return &rpc.ClaimResponse{Granted: true}, nil
 }
 
-// peers are the control processes, one of which may lead.
+// peers implements failover.Peers with a settable leader.
 type peers struct {
 	addresses []string
 
@@ -78,9 +78,10 @@
 		return err
 	}
 
-	// A control host is cut off. A caller's claim must not fail while the other
-	// two can commit it, and the next claim must not begin at the dead one again.
-	It("leave a member that cannot be reached, and stay with the one that answered", func() {
+	// Guards against claims that fail because one control host is partitioned although
+	// the other two can commit them, and against a next claim that first tries the
+	// unreachable host again.
+	It("skip a member that is unreachable, and stay with the one that answered", func() {
 		members["a"].err = twirp.NewError(twirp.Unavailable, "connection refused")
 		Expect(claim()).To(Succeed())
 		Expect(claim()).To(Succeed())
@@ -88,7 +89,7 @@
 		Expect(members["b"].calls).To(Equal(2))
 	})
 
-	It("give a refusal back at once, without asking another member", func() {
+	It("return an error that is not retryable, without calling another member", func() {
 		members["a"].err = rpc.ToTwirp(fault.New(fault.KeyReused, "another request"))
 		Expect(fault.Is(rpc.FromTwirp(claim()), fault.KeyReused)).To(BeTrue())
 		Expect(members["b"].calls).To(BeZero())
@@ -102,45 +103,47 @@
 	})
 })
 
-// silent is a process whose host has fallen silent: it neither answers nor refuses.
-type silent struct {
+// unresponsive is a process whose host is frozen: calls neither return nor fail before their
+// context ends.
+type unresponsive struct {
 	rpc.Control
 	rpc.Board
 	asked chan struct{}
 }
 
-func (s *silent) Draw(ctx context.Context, _ *rpc.DrawRequest) (*rpc.DrawResponse, error) {
-	close(s.asked)
+func (u *unresponsive) Draw(ctx context.Context, _ *rpc.DrawRequest) (*rpc.DrawResponse, error) {
+	close(u.asked)
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (s *silent) Watch(ctx context.Context, _ *rpc.WatchRequest) (*rpc.WatchResponse, error) {
-	close(s.asked)
+func (u *unresponsive) Watch(ctx context.Context, _ *rpc.WatchRequest) (*rpc.WatchResponse, error) {
+	close(u.asked)
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// owner answers draws.
-type owner struct{ rpc.Control }
+// drawer is a control process that answers draws.
+type drawer struct{ rpc.Control }
 
-func (owner) Draw(context.Context, *rpc.DrawRequest) (*rpc.DrawResponse, error) {
+func (drawer) Draw(context.Context, *rpc.DrawRequest) (*rpc.DrawResponse, error) {
 	return &rpc.DrawResponse{Epoch: 7}, nil
 }
 
-// The leader's host freezes. Calls that are under way, and those that come until the next
-// leader is told, hang there for their whole time limit: callers inside their rate are
-// refused, and entry hosts see no targets for a second after the next leader stands ready.
-var _ = Describe("a leader that has fallen silent", func() {
-	It("holds up no charge once another one leads", func() {
-		frozen := &silent{asked: make(chan struct{})}
+// Guards against calls that wait for their whole timeout at a leader whose host is frozen,
+// both those in flight and those made until the next leader is reported: callers within
+// their rate are rejected, and entry hosts see no targets for a second after the next
+// leader is available.
+var _ = Describe("a leader that stopped responding", func() {
+	It("does not delay draws once another member leads", func() {
+		frozen := &unresponsive{asked: make(chan struct{})}
 		p := peersOf("a", "b")
 		p.lead("a")
 		control := failover.NewControl(p, func(address string) rpc.Control {
 			if address == "a" {
 				return frozen
 			}
-			return owner{}
+			return drawer{}
 		})
 		answers := make(chan *rpc.DrawResponse, 1)
 		go func() {
@@ -154,8 +157,8 @@
 		Eventually(answers, "500ms").Should(Receive(HaveField("Epoch", uint64(7))))
 	})
 
-	It("holds up no watch of its board once another one leads", func() {
-		frozen := &silent{asked: make(chan struct{})}
+	It("does not delay watches of its board once another member leads", func() {
+		frozen := &unresponsive{asked: make(chan struct{})}
 		p := peersOf("a", "b")
 		boards := failover.NewBoards(p, func(string) rpc.Board { return frozen })
 		Expect(boards.Current()).To(BeNil())
--- a/server/failover/doc.go
+++ b/server/failover/doc.go
@@ -1,4 +1,5 @@
-// Package failover makes calls to control through whichever control process
-// answers. Any control process takes any call and forwards what only the leader
-// can do, so all that is left is to leave one that is down, cut off or silent.
+// Package failover provides clients that call control through any reachable control
+// process. Any control process accepts any call and forwards those that only the leader can
+// execute, so the client only has to skip processes that are down, partitioned or
+// unresponsive.
 package failover
--- a/server/failover/led.go
+++ b/server/failover/led.go
@@ -6,20 +6,20 @@
 	"cowsliptiller/server/rpc"
 )
 
-// Leaders says who leads control.
+// Leaders provides the current leader of control.
 type Leaders interface {
-	// Led returns the address of the leader as last told, "" while none is known, and a
-	// channel that is closed when another one is told.
+	// Led returns the last reported address of the leader, "" if it is unknown, and a
+	// channel that is closed when the reported address changes.
 	Led() (address string, changed <-chan struct{})
 }
 
-// whileLed returns a context that ends once control is led by another process than the
-// one at an address.
+// cancelOnLeaderChange returns a context that is canceled when a process at another address
+// than the given one becomes the leader of control.
 //
-// It guards against calls that wait at a former leader which fell silent. Its host does
-// not refuse them, so that they last for their whole time limit, while the next leader
-// stands ready: reports, watches and charges came a second late after each change.
-func whileLed(ctx context.Context, l Leaders, address string) (context.Context, context.CancelFunc) {
+// It cancels calls to a former leader that no longer responds. Its host does not reject
+// them, so that they would last until their timeout although the next leader is available:
+// reports, watches and charges were a second late after each change of the leader.
+func cancelOnLeaderChange(ctx context.Context, l Leaders, address string) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	_, changed := l.Led()
 	go func() {
@@ -38,19 +38,19 @@
 	return ctx, cancel
 }
 
-// Boards reaches the board of whichever process leads.
+// Boards provides clients of the current leader's board.
 type Boards struct {
 	leaders Leaders
 	clients *rpc.Clients[rpc.Board]
 }
 
-// NewBoards returns a client that dials each leader at its first use.
+// NewBoards returns a Boards that dials each leader on first use.
 func NewBoards(leaders Leaders, dial func(address string) rpc.Board) *Boards {
 	return &Boards{leaders: leaders, clients: rpc.NewClients(dial)}
 }
 
-// Current returns the leader's board, nil while no leader is known. Its calls end when
-// another process leads.
+// Current returns a client of the leader's board, nil if no leader is known. Its calls are
+// canceled when another process becomes the leader.
 func (b *Boards) Current() rpc.Board {
 	address, _ := b.leaders.Led()
 	if address == "" {
@@ -59,7 +59,7 @@
 	return &board{b.clients.At(address), b.leaders, address}
 }
 
-// board is the board of one leader for as long as it leads.
+// board is a client of one leader's board, whose calls are canceled when the leader changes.
 type board struct {
 	client  rpc.Board
 	leaders Leaders
@@ -68,21 +68,21 @@
 
 // Report implements rpc.Board.
 func (b *board) Report(ctx context.Context, r *rpc.StandingReport) (*rpc.StandingReportResponse, error) {
-	ctx, cancel := whileLed(ctx, b.leaders, b.address)
+	ctx, cancel := cancelOnLeaderChange(ctx, b.leaders, b.address)
 	defer cancel()
 	return b.client.Report(ctx, r)
 }
 
 // Watch implements rpc.Board.
 func (b *board) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchResponse, error) {
-	ctx, cancel := whileLed(ctx, b.leaders, b.address)
+	ctx, cancel := cancelOnLeaderChange(ctx, b.leaders, b.address)
 	defer cancel()
 	return b.client.Watch(ctx, r)
 }
 
 // Permit implements rpc.Board.
 func (b *board) Permit(ctx context.Context, r *rpc.PermitRequest) (*rpc.PermitResponse, error) {
-	ctx, cancel := whileLed(ctx, b.leaders, b.address)
+	ctx, cancel := cancelOnLeaderChange(ctx, b.leaders, b.address)
 	defer cancel()
 	return b.client.Permit(ctx, r)
 }
--- a/server/failover/time_test.go
+++ b/server/failover/time_test.go
@@ -7,13 +7,13 @@
 	"cowsliptiller/server/rpc"
 )
 
-// Guards against large calls that are given up and sent again while they are on their way.
+// Guards against large requests that time out and are sent again during the transfer.
 func TestALargeCallHasTheTimeThatANarrowLinkTakes(t *testing.T) {
 	large := &rpc.AdoptRequest{AdoptGzip: make([]byte, 3<<20)}
-	if got := attemptTimeOf(large); got < attemptTime+3*time.Second {
-		t.Errorf("3 MB over 10 Mbit/s have %v", got)
+	if got := attemptTimeoutFor(large); got < attemptTimeout+3*time.Second {
+		t.Errorf("timeout of a 3 MB request over 10 Mbit/s is %v", got)
 	}
-	if got := attemptTimeOf(&rpc.SourceRequest{}); got != attemptTime {
-		t.Errorf("a small call has %v", got)
+	if got := attemptTimeoutFor(&rpc.SourceRequest{}); got != attemptTimeout {
+		t.Errorf("timeout of a small request is %v", got)
 	}
 }
