--- a/server/discovery/announcer.go
+++ b/server/discovery/announcer.go
@@ -12,21 +12,21 @@
 
 const (
 	announceInterval = 100 * time.Millisecond
-	// announceTimeout bounds one announcement.
+	// announceTimeout limits one announcement.
 	announceTimeout = 700 * time.Millisecond
-	// maxInFlight bounds the announcements under way: processes that are down hold each of
-	// them for its whole timeout.
+	// maxInFlight limits the concurrent announcements: one to a process that is down
+	// lasts for the whole timeout.
 	maxInFlight = 64
 )
 
-// Audience is whom a control process announces itself to, and with what.
+// Audience holds the addresses that an announcement contains and those it is sent to.
 type Audience struct {
-	Control   []string // addresses of the group's members; none: this process has nothing to announce
-	Answering []string // those of them that are known to answer
-	Processes []string // registered ones that do not follow this process
+	Control   []string // addresses of the control group's members; empty: this process announces nothing
+	Answering []string // the subset of Control that is known to answer
+	Processes []string // registered processes that do not follow this process
 }
 
-// AnnouncerConfig is what an announcer is made of.
+// AnnouncerConfig configures an Announcer.
 type AnnouncerConfig struct {
 	Own      string // internal address of this process
 	Seeds    func() []string
@@ -35,22 +35,22 @@
 	Now      func() time.Time
 }
 
-// Announcer announces this process's control member to those who may look for it.
+// Announcer announces this process's control member to processes that may search for it.
 type Announcer struct {
-	c       AnnouncerConfig
+	config  AnnouncerConfig
 	running sync.WaitGroup
 
-	mu       sync.Mutex // guards what follows; a leaf
+	mu       sync.Mutex // guards the fields below; no other lock is acquired while it is held
 	schedule *discovery.Announcer
 	inFlight int
 }
 
-// NewAnnouncer returns an announcer. Run makes it announce.
+// NewAnnouncer returns an announcer. Call Run to start announcing.
 func NewAnnouncer(c AnnouncerConfig) *Announcer {
-	return &Announcer{c: c, schedule: discovery.NewAnnouncer()}
+	return &Announcer{config: c, schedule: discovery.NewAnnouncer()}
 }
 
-// Run announces until the context ends.
+// Run sends announcements until ctx is done. It returns once those in flight have ended.
 func (a *Announcer) Run(ctx context.Context) {
 	defer a.running.Wait()
 	ticker := time.NewTicker(announceInterval)
@@ -66,30 +66,32 @@
 }
 
 func (a *Announcer) round(ctx context.Context) {
-	audience := a.c.Audience()
+	audience := a.config.Audience()
 	if len(audience.Control) == 0 {
-		a.forget()
+		a.clearRecipients()
 		return
 	}
-	request := &rpc.AnnounceRequest{Address: a.c.Own, ControlAddresses: audience.Control, Answering: audience.Answering}
+	request := &rpc.AnnounceRequest{Address: a.config.Own, ControlAddresses: audience.Control, Answering: audience.Answering}
 	for _, address := range a.due(audience) {
 		a.running.Go(func() { a.announce(ctx, address, request) })
 	}
 }
 
-// forget drops all recipients: each is due at once when this process can announce again.
-func (a *Announcer) forget() {
+// clearRecipients removes all recipients, so that each is due immediately when this process
+// can announce again.
+func (a *Announcer) clearRecipients() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.schedule.SetAudience(nil, nil, a.c.Now())
+	a.schedule.SetAudience(nil, nil, a.config.Now())
 }
 
-// due returns the recipients of this round. Members learn their group from the log.
+// due returns the recipients of this round. It excludes the members of the control group,
+// which learn the group's members from the replicated log.
 func (a *Announcer) due(audience Audience) []string {
-	member := func(address string) bool { return address == a.c.Own || slices.Contains(audience.Control, address) }
-	seeds := slices.DeleteFunc(a.c.Seeds(), member)
+	member := func(addr string) bool { return addr == a.config.Own || slices.Contains(audience.Control, addr) }
+	seeds := slices.DeleteFunc(a.config.Seeds(), member)
 	processes := slices.DeleteFunc(audience.Processes, member)
-	now := a.c.Now()
+	now := a.config.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.schedule.SetAudience(seeds, processes, now)
@@ -101,7 +103,7 @@
 func (a *Announcer) announce(ctx context.Context, address string, r *rpc.AnnounceRequest) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	resp, err := a.c.Announce(ctx, address, r)
+	resp, err := a.config.Announce(ctx, address, r)
 	outcome := discovery.Unreachable
 	switch {
 	case err != nil:
@@ -113,5 +115,5 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.inFlight--
-	a.schedule.Done(address, outcome, a.c.Now())
+	a.schedule.Done(address, outcome, a.config.Now())
 }
--- a/server/discovery/bench_test.go
+++ b/server/discovery/bench_test.go
@@ -14,7 +14,8 @@
 	"cowsliptiller/server/view"
 )
 
-// BenchmarkAnnounce reports the bytes and the time of one announcement of seven members.
+// BenchmarkAnnounce measures the bytes on the wire and the time of one announcement of seven
+// members.
 func BenchmarkAnnounce(b *testing.B) {
 	var bytes atomic.Int64
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/server/discovery/directory.go
+++ b/server/discovery/directory.go
@@ -11,45 +11,47 @@
 	"cowsliptiller/server/rpc"
 )
 
-// Follower is this process's own way to control.
+// Follower is this process's connection to control.
 type Follower interface {
 	Fresh(now time.Time) bool
-	// Confirmed returns the control processes that control itself told of.
+	// Confirmed returns the addresses of the control processes of the settings and those
+	// that control itself reported.
 	Confirmed() []string
-	// Prefer adds control processes, one of which is known to answer.
+	// Prefer adds addresses of control processes, of which address is known to answer.
 	Prefer(address string, others []string)
 }
 
-// Group is what a control member of this process knows of its group.
+// Group is the control group as seen by the member in this process.
 type Group struct {
 	Leader    uint64 // 0: unknown
 	Members   []uint64
-	Addresses []string // of the members, internal
+	Addresses []string // internal addresses of the members
 }
 
-// Directory tells other processes where control is. It implements rpc.Directory.
+// Directory provides the addresses of control to other processes. It implements
+// rpc.Directory.
 type Directory struct {
-	disk     bool
+	hasDisk  bool
 	follower Follower
-	group    func() Group // empty where no member runs here
+	group    func() Group // empty if no member runs in this process
 	now      func() time.Time
 
-	mu    sync.Mutex // guards heard; a leaf
-	heard *discovery.Announcements
+	mu            sync.Mutex // guards announcements; no other lock is acquired while it is held
+	announcements *discovery.Announcements
 }
 
 var _ rpc.Directory = (*Directory)(nil)
 
-// NewDirectory returns a directory; disk says that this host may hold a member.
-func NewDirectory(disk bool, f Follower, group func() Group, now func() time.Time) *Directory {
-	return &Directory{disk: disk, follower: f, group: group, now: now, heard: discovery.NewAnnouncements()}
+// NewDirectory returns a directory. hasDisk is true if this host may run a control member.
+func NewDirectory(hasDisk bool, f Follower, group func() Group, now func() time.Time) *Directory {
+	return &Directory{hasDisk: hasDisk, follower: f, group: group, now: now, announcements: discovery.NewAnnouncements()}
 }
 
 // Locate implements rpc.Directory.
 func (d *Directory) Locate(context.Context, *rpc.LocateRequest) (*rpc.LocateResponse, error) {
 	g := d.group()
-	resp := &rpc.LocateResponse{Disk: d.disk, LeaderMember: g.Leader, Members: g.Members}
-	resp.ControlAddresses = union(d.follower.Confirmed(), g.Addresses, d.announced())
+	resp := &rpc.LocateResponse{Disk: d.hasDisk, LeaderMember: g.Leader, Members: g.Members}
+	resp.ControlAddresses = union(d.follower.Confirmed(), g.Addresses, d.announcedAddresses())
 	return resp, nil
 }
 
@@ -57,20 +59,21 @@
 func (d *Directory) Announce(_ context.Context, r *rpc.AnnounceRequest) (*rpc.AnnounceResponse, error) {
 	now := d.now()
 	d.mu.Lock()
-	d.heard.Note(r.Address, r.ControlAddresses, now)
+	d.announcements.Note(r.Address, r.ControlAddresses, now)
 	d.mu.Unlock()
 	follows := d.follower.Fresh(now)
 	if !follows && len(r.Answering) > 0 {
-		// A random one: the leader announces itself to the whole fleet.
+		// The choice is random because the leader announces itself to the whole fleet,
+		// which would otherwise follow the leader alone.
 		d.follower.Prefer(r.Answering[rand.IntN(len(r.Answering))], r.ControlAddresses)
 	}
 	return &rpc.AnnounceResponse{Follows: follows}, nil
 }
 
-func (d *Directory) announced() []string {
+func (d *Directory) announcedAddresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.heard.Addresses(d.now())
+	return d.announcements.Addresses(d.now())
 }
 
 func union(lists ...[]string) []string {
--- a/server/discovery/directory_test.go
+++ b/server/discovery/directory_test.go
@@ -10,7 +10,7 @@
 	"cowsliptiller/server/rpc"
 )
 
-// follower records what a directory tells it.
+// follower records the addresses that a directory prefers.
 type follower struct {
 	fresh     bool
 	confirmed []string
@@ -29,7 +29,7 @@
 	return resp
 }
 
-// Guards against a whole fleet that follows the leader alone after a start.
+// Guards against a fleet in which all processes follow the leader alone after a start.
 func TestFollowersSpreadOverTheMembersThatAnswer(t *testing.T) {
 	f := &follower{}
 	d := NewDirectory(false, f, func() Group { return Group{} }, time.Now)
@@ -45,7 +45,7 @@
 			}
 		}
 		if count < 60 {
-			t.Errorf("%d of 300 go to %s", count, m)
+			t.Errorf("%d of 300 announcements prefer %s, want at least 60", count, m)
 		}
 	}
 	if slices.Contains(f.preferred, "dead") {
@@ -53,13 +53,14 @@
 	}
 }
 
-// Guards against a seed that follows nobody and keeps to itself where control is.
+// Guards against a seed that does not follow control and does not pass on the addresses of
+// control that were announced to it.
 func TestASeedPassesOnWhatWasAnnounced(t *testing.T) {
 	f := &follower{confirmed: []string{"m1"}}
 	now := time.Now()
 	d := NewDirectory(false, f, func() Group { return Group{} }, func() time.Time { return now })
 	if announce(t, d, &rpc.AnnounceRequest{Address: "m2", ControlAddresses: []string{"m1", "m2", "m3"}}).Follows {
-		t.Error("the seed follows nobody")
+		t.Error("Follows is true for a seed that does not follow control")
 	}
 	located := func() string {
 		resp, err := d.Locate(context.Background(), &rpc.LocateRequest{})
@@ -69,10 +70,10 @@
 		return fmt.Sprint(resp.ControlAddresses)
 	}
 	if got := located(); got != "[m1 m2 m3]" {
-		t.Errorf("located %s", got)
+		t.Errorf("Locate returns %s", got)
 	}
 	now = now.Add(time.Minute)
 	if got := located(); got != "[m1]" {
-		t.Errorf("a minute later %s", got)
+		t.Errorf("Locate returns %s a minute later", got)
 	}
 }
--- a/server/discovery/doc.go
+++ b/server/discovery/doc.go
@@ -1,4 +1,5 @@
 // Package discovery finds the control processes: a process that does not follow control
-// asks its seeds, and control processes announce themselves. coord/discovery decides to
-// whom and when; docs/design/discovery.md weighs the ways.
+// queries its seeds, and control processes announce themselves. coord/discovery decides
+// when they announce themselves and to which recipients; docs/design/discovery.md compares
+// the alternatives.
 package discovery
--- a/server/discovery/finder.go
+++ b/server/discovery/finder.go
@@ -13,51 +13,52 @@
 )
 
 const (
-	// findInterval is how often the seeds are asked while control is not known.
+	// findInterval is the delay between rounds of querying the seeds while this process
+	// does not follow control.
 	findInterval = 200 * time.Millisecond
-	// notFoundAfter is how long control is unknown before a log line says so: starts and
-	// elections take less.
+	// notFoundAfter is the time without control after which this is logged. It exceeds the
+	// duration of starts and elections.
 	notFoundAfter = 2 * time.Second
-	// LocateTimeout bounds one question to a seed.
+	// LocateTimeout limits one query of a seed.
 	LocateTimeout = 700 * time.Millisecond
 )
 
-// FinderConfig is what a finder is made of. Its functions are called from several
-// goroutines at once.
+// FinderConfig configures a Finder. Its functions are called concurrently from several
+// goroutines.
 type FinderConfig struct {
-	Seeds    func() []string // internal addresses, as the settings name them now
+	Seeds    func() []string // internal addresses in the current settings
 	Locate   func(ctx context.Context, seed string) (*rpc.LocateResponse, error)
-	Members  func() []string          // of the control group, where a member runs in this process
-	Suggest  func(addresses []string) // takes what was found
-	Known    func() []string          // the control processes that are known
-	Follows  func() bool              // this process follows control
-	Silent   func(seed string, err error)
+	Members  func() []string              // of the control group, if a member runs in this process
+	Suggest  func(addresses []string)     // receives the addresses that were found
+	Known    func() []string              // addresses of the known control processes
+	Follows  func() bool                  // whether this process follows control
+	Silent   func(seed string, err error) // called when a query of a seed fails
 	Events   *events.Log
 	Registry prometheus.Registerer // nil: no metrics
 	Now      func() time.Time
 }
 
-// Finder learns from the seeds which control processes there are.
+// Finder queries the seeds for the addresses of the control processes.
 type Finder struct {
-	c      FinderConfig
-	failed prometheus.Counter
-	since  time.Time // control is unknown since then; zero: it is followed
-	logged bool      // that control is not found
+	config         FinderConfig
+	failedRounds   prometheus.Counter
+	searchingSince time.Time // start of the current search; zero: this process follows control
+	notFoundLogged bool      // whether ControlNotFound was logged in this search
 }
 
-// NewFinder returns a finder. Run makes it search.
+// NewFinder returns a finder. Call Run to start searching.
 func NewFinder(c FinderConfig) *Finder {
-	f := &Finder{c: c, since: c.Now(), failed: prometheus.NewCounter(prometheus.CounterOpts{
+	f := &Finder{config: c, searchingSince: c.Now(), failedRounds: prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "cowslip_control_search_rounds_failed_total",
 		Help: "Rounds of asking all seeds after which no control process was known.",
 	})}
 	if c.Registry != nil {
-		c.Registry.MustRegister(f.failed)
+		c.Registry.MustRegister(f.failedRounds)
 	}
 	return f
 }
 
-// Run asks the seeds while this process does not follow control, until the context ends.
+// Run queries the seeds while this process does not follow control, until ctx is done.
 func (f *Finder) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.round(ctx)
@@ -69,61 +70,61 @@
 }
 
 func (f *Finder) round(ctx context.Context) {
-	if f.c.Follows() {
-		f.found()
+	if f.config.Follows() {
+		f.endSearch()
 		return
 	}
-	if f.since.IsZero() {
-		f.since = f.c.Now()
+	if f.searchingSince.IsZero() {
+		f.searchingSince = f.config.Now()
 	}
-	f.c.Suggest(f.c.Members())
-	seeds := f.c.Seeds()
-	answered := f.ask(ctx, seeds)
-	if f.c.Follows() || ctx.Err() != nil {
+	f.config.Suggest(f.config.Members())
+	seeds := f.config.Seeds()
+	answered := f.askSeeds(ctx, seeds)
+	if f.config.Follows() || ctx.Err() != nil {
 		return
 	}
-	if len(f.c.Known()) == 0 {
-		f.failed.Inc()
+	if len(f.config.Known()) == 0 {
+		f.failedRounds.Inc()
 	}
-	if unknown := f.c.Now().Sub(f.since); unknown >= notFoundAfter && !f.logged {
-		f.logged = true
-		f.c.Events.ControlNotFound(seeds, answered, unknown)
+	if unknown := f.config.Now().Sub(f.searchingSince); unknown >= notFoundAfter && !f.notFoundLogged {
+		f.notFoundLogged = true
+		f.config.Events.ControlNotFound(seeds, answered, unknown)
 	}
 }
 
-func (f *Finder) found() {
-	if f.logged {
-		f.c.Events.ControlFound(f.c.Known(), f.c.Now().Sub(f.since))
+func (f *Finder) endSearch() {
+	if f.notFoundLogged {
+		f.config.Events.ControlFound(f.config.Known(), f.config.Now().Sub(f.searchingSince))
 	}
-	f.since, f.logged = time.Time{}, false
+	f.searchingSince, f.notFoundLogged = time.Time{}, false
 }
 
-// ask asks all seeds at once and passes each answer on as it comes: two seeds that are
-// silent must not hold up the third. It returns how many answered.
-func (f *Finder) ask(ctx context.Context, seeds []string) int {
-	var asked sync.WaitGroup
+// askSeeds queries all seeds concurrently and handles each response when it arrives, so that
+// unresponsive seeds do not delay the others. It returns the number of seeds that answered.
+func (f *Finder) askSeeds(ctx context.Context, seeds []string) int {
+	var queries sync.WaitGroup
 	var answered atomic.Int64
 	for _, seed := range seeds {
-		asked.Go(func() {
-			if f.askOne(ctx, seed) {
+		queries.Go(func() {
+			if f.askSeed(ctx, seed) {
 				answered.Add(1)
 			}
 		})
 	}
-	asked.Wait()
+	queries.Wait()
 	return int(answered.Load())
 }
 
-func (f *Finder) askOne(ctx context.Context, seed string) bool {
-	resp, err := f.c.Locate(ctx, seed)
+func (f *Finder) askSeed(ctx context.Context, seed string) bool {
+	resp, err := f.config.Locate(ctx, seed)
 	if err != nil {
-		f.c.Silent(seed, err)
+		f.config.Silent(seed, err)
 		return false
 	}
 	addresses := resp.ControlAddresses
 	if resp.Disk {
 		addresses = append(addresses, seed)
 	}
-	f.c.Suggest(addresses)
+	f.config.Suggest(addresses)
 	return true
 }
--- a/server/discovery/finder_test.go
+++ b/server/discovery/finder_test.go
@@ -10,7 +10,7 @@
 	"cowsliptiller/server/rpc"
 )
 
-// Guards against silent seeds that hold up the answer of one that is there.
+// Guards against unresponsive seeds that delay the response of another seed.
 func TestSeedsThatAreSilentDoNotHoldUpTheOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -29,12 +29,12 @@
 			Silent:  func(string, error) { silent.Add(1) },
 			Now:     time.Now,
 		})
-		answered := f.ask(context.Background(), []string{"a", "b", "c"})
+		answered := f.askSeeds(context.Background(), []string{"a", "b", "c"})
 		if len(learned) != 2 || at != 0 || answered != 1 {
-			t.Errorf("learned %v after %v from %d seeds", learned, at, answered)
+			t.Errorf("addresses %v after %v from %d seeds", learned, at, answered)
 		}
 		if silent.Load() != 2 || time.Since(began) != LocateTimeout {
-			t.Errorf("%d silent seeds after %v", silent.Load(), time.Since(began))
+			t.Errorf("%d failed queries after %v", silent.Load(), time.Since(began))
 		}
 	})
 }
