--- a/server/store/folder.go
+++ b/server/store/folder.go
@@ -11,10 +11,10 @@
 
 const folderMode = 0o700
 
-// makeFolder makes the folder for its owner alone. On a private disk the mode of a
-// folder that exists is not judged: some file systems keep none, and the process
-// would refuse its own data after a restart.
-func makeFolder(fs vfs.FS, folder string, privateDisk bool) error {
+// ensureFolder creates the folder with mode 0700, or checks the existing one. On a
+// private disk the mode of an existing folder is not checked: some file systems do not
+// store modes, and the process would reject its own data after a restart.
+func ensureFolder(fs vfs.FS, folder string, privateDisk bool) error {
 	info, err := fs.Stat(folder)
 	switch {
 	case err == nil && !info.IsDir():
@@ -26,14 +26,14 @@
 	case !errors.Is(err, os.ErrNotExist):
 		return fault.New(fault.InvalidRequest, "data folder: %v", err)
 	}
-	return makeAndSync(fs, folder)
+	return createAndSync(fs, folder)
 }
 
-// makeAndSync makes a folder and what is missing above it, each synced into its parent.
-func makeAndSync(fs vfs.FS, folder string) error {
+// createAndSync creates a folder and its missing parents, and syncs the parent of each.
+func createAndSync(fs vfs.FS, folder string) error {
 	parent := fs.PathDir(folder)
 	if _, err := fs.Stat(parent); errors.Is(err, os.ErrNotExist) && parent != folder {
-		if err := makeAndSync(fs, parent); err != nil {
+		if err := createAndSync(fs, parent); err != nil {
 			return err
 		}
 	}
@@ -42,11 +42,11 @@
 	}
 	dir, err := fs.OpenDir(parent)
 	if err != nil {
-		return fault.New(fault.InvalidRequest, "data folder's parent: %v", err)
+		return fault.New(fault.InvalidRequest, "opening the data folder's parent: %v", err)
 	}
 	defer func() { _ = dir.Close() }()
 	if err := dir.Sync(); err != nil {
-		return fault.New(fault.Internal, "data folder's parent cannot be synced: %v", err)
+		return fault.New(fault.Internal, "syncing the data folder's parent: %v", err)
 	}
 	return nil
 }
--- a/server/store/load.go
+++ b/server/store/load.go
@@ -11,15 +11,16 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Load reads everything back and checks it. A missing, torn or corrupt record is
-// an error: a member that went on without it would deny what it acknowledged.
+// Load reads and verifies the hard state, the snapshot and the log. A missing,
+// truncated or corrupt record is an error: without it the member would contradict
+// votes or lack entries that it acknowledged.
 func (s *Store) Load() (consensus.Durable, error) {
 	var d consensus.Durable
 	hs, snap := &coordpb.HardState{}, &coordpb.Snapshot{}
-	if err := s.load(hardStateKey, hs); err != nil {
+	if err := s.loadRecord(hardStateKey, hs); err != nil {
 		return d, err
 	}
-	if err := s.load(snapshotKey, snap); err != nil {
+	if err := s.loadRecord(snapshotKey, snap); err != nil {
 		return d, err
 	}
 	entries, err := s.loadEntries()
@@ -31,13 +32,13 @@
 
 func (s *Store) loadEntries() ([]*coordpb.Entry, error) {
 	var entries []*coordpb.Entry
-	err := s.eachEntry(func(key, value []byte) error {
+	err := s.forEachEntry(func(key, value []byte) error {
 		e := &coordpb.Entry{}
-		if err := unsealMessage(key, value, e); err != nil {
+		if err := unmarshalRecord(key, value, e); err != nil {
 			return err
 		}
 		if e.Index != entryIndex(key) {
-			return fault.New(fault.Internal, "store: entry %d lies under the key of %d", e.Index, entryIndex(key))
+			return fault.New(fault.Internal, "store: entry %d is stored under the key of entry %d", e.Index, entryIndex(key))
 		}
 		if n := len(entries); n > 0 && e.Index != entries[n-1].Index+1 {
 			return fault.New(fault.Internal, "store: entry %d is missing from the log", entries[n-1].Index+1)
@@ -48,10 +49,10 @@
 	return entries, err
 }
 
-func (s *Store) eachEntry(take func(key, value []byte) error) error {
+func (s *Store) forEachEntry(visit func(key, value []byte) error) error {
 	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: entryKey(0), UpperBound: []byte{entryPrefix + 1}})
 	if err != nil {
-		return fault.New(fault.Internal, "store: %v", err)
+		return fault.New(fault.Internal, "store: opening an iterator over the log: %v", err)
 	}
 	defer func() { _ = it.Close() }()
 	for it.First(); it.Valid(); it.Next() {
@@ -59,7 +60,7 @@
 		if err != nil {
 			return fault.New(fault.Internal, "store: entry %d cannot be read: %v", entryIndex(it.Key()), err)
 		}
-		if err := take(it.Key(), value); err != nil {
+		if err := visit(it.Key(), value); err != nil {
 			return err
 		}
 	}
@@ -69,30 +70,30 @@
 	return nil
 }
 
-// findEntries sets which entries are stored.
-func (s *Store) findEntries() error {
+// loadEntryRange sets firstIndex and nextIndex from the stored entries.
+func (s *Store) loadEntryRange() error {
 	found := false
-	return s.eachEntry(func(key, _ []byte) error {
+	return s.forEachEntry(func(key, _ []byte) error {
 		if !found {
-			s.first, found = entryIndex(key), true
+			s.firstIndex, found = entryIndex(key), true
 		}
-		s.next = entryIndex(key) + 1
+		s.nextIndex = entryIndex(key) + 1
 		return nil
 	})
 }
 
-func (s *Store) load(key []byte, m proto.Message) error {
-	value, found, err := get(s.db, key)
+func (s *Store) loadRecord(key []byte, m proto.Message) error {
+	value, found, err := getRecord(s.db, key)
 	if err != nil {
 		return err
 	}
 	if !found {
 		return fault.New(fault.Internal, "store: record %q is missing", key)
 	}
-	return unsealMessage(key, value, m)
+	return unmarshalRecord(key, value, m)
 }
 
-func get(db *pebble.DB, key []byte) ([]byte, bool, error) {
+func getRecord(db *pebble.DB, key []byte) ([]byte, bool, error) {
 	value, closer, err := db.Get(key)
 	if errors.Is(err, pebble.ErrNotFound) {
 		return nil, false, nil
--- a/server/store/record.go
+++ b/server/store/record.go
@@ -9,7 +9,8 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Keys. Entries sort by index.
+// Record keys. Entry keys are the prefix and the index in big-endian order, so that
+// entries sort by index.
 var (
 	identityKey  = []byte("identity")
 	hardStateKey = []byte("hard-state")
@@ -31,22 +32,23 @@
 
 func entryIndex(key []byte) uint64 { return binary.BigEndian.Uint64(key[1:]) }
 
-// seal puts a checksum over key and payload before the payload. Pebble checks
-// its blocks as well; this one also finds a record that came under a wrong key.
-func seal(key, payload []byte) []byte {
+// encodeRecord prefixes the payload with a checksum over key and payload. Pebble
+// checks its blocks as well; this one also detects a record under a wrong key.
+func encodeRecord(key, payload []byte) []byte {
 	out := make([]byte, checksumBytes, checksumBytes+len(payload))
 	binary.BigEndian.PutUint64(out, checksum(key, payload))
 	return append(out, payload...)
 }
 
-// unseal returns the payload, which shares memory with value.
-func unseal(key, value []byte) ([]byte, error) {
+// decodeRecord verifies the checksum and returns the payload, which shares memory with
+// value.
+func decodeRecord(key, value []byte) ([]byte, error) {
 	if len(value) < checksumBytes {
-		return nil, fault.New(fault.Internal, "store: record %q is torn: %d bytes", key, len(value))
+		return nil, fault.New(fault.Internal, "store: record %q is truncated: %d bytes", key, len(value))
 	}
 	payload := value[checksumBytes:]
 	if binary.BigEndian.Uint64(value) != checksum(key, payload) {
-		return nil, fault.New(fault.Internal, "store: record %q is corrupt: its checksum does not match", key)
+		return nil, fault.New(fault.Internal, "store: record %q is corrupt: checksum mismatch", key)
 	}
 	return payload, nil
 }
@@ -58,21 +60,21 @@
 	return h.Sum64()
 }
 
-func sealMessage(key []byte, m proto.Message) ([]byte, error) {
+func marshalRecord(key []byte, m proto.Message) ([]byte, error) {
 	payload, err := proto.Marshal(m)
 	if err != nil {
-		return nil, fault.New(fault.Internal, "store: record %q: %v", key, err)
+		return nil, fault.New(fault.Internal, "store: encoding record %q: %v", key, err)
 	}
-	return seal(key, payload), nil
+	return encodeRecord(key, payload), nil
 }
 
-func unsealMessage(key, value []byte, m proto.Message) error {
-	payload, err := unseal(key, value)
+func unmarshalRecord(key, value []byte, m proto.Message) error {
+	payload, err := decodeRecord(key, value)
 	if err != nil {
 		return err
 	}
 	if err := proto.Unmarshal(payload, m); err != nil {
-		return fault.New(fault.Internal, "store: record %q cannot be read: %v", key, err)
+		return fault.New(fault.Internal, "store: decoding record %q: %v", key, err)
 	}
 	return nil
 }
--- a/server/store/sequence.go
+++ b/server/store/sequence.go
@@ -12,41 +12,42 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Each write carries the next sequence number. It guards against a damaged
-// record in pebble's write-ahead log: pebble takes the first record that fails
-// its checksum for the torn end of the log and goes on with an older state, so
-// a member would deny votes and entries that it acknowledged, without a word.
+// Each write carries the next sequence number, to detect a corrupt record in
+// pebble's write-ahead log: pebble treats the first record that fails its checksum
+// as the torn tail of the log and opens with an older state, so a member would
+// silently lose votes and entries that it acknowledged.
 //
-// Before the folder is opened for writing, its log files are searched for the
-// numbers in them. One write is out at a time, so a torn one is the last. A
-// number two or more above what pebble recovers shows that synced records lie
-// behind the one that failed. A damaged last write cannot be told from a torn
-// one: nothing was synced after it.
+// Before the folder is opened for writing, its log files are scanned for sequence
+// numbers. Only one write is in flight at a time, so a torn write is the last one.
+// A number two or more above the recovered one shows that synced records follow the
+// one that failed its checksum. A corrupt last write cannot be distinguished from a
+// torn one: nothing was synced after it.
 var sequenceKey = []byte("write-sequence")
 
 const sequenceBytes = 8
 
 func putSequence(b *pebble.Batch, n uint64) error {
-	return b.Set(sequenceKey, seal(sequenceKey, binary.BigEndian.AppendUint64(nil, n)), nil)
+	return b.Set(sequenceKey, encodeRecord(sequenceKey, binary.BigEndian.AppendUint64(nil, n)), nil)
 }
 
-// readSequence returns the newest number that the database recovered; 0 in a new one.
+// readSequence returns the latest sequence number that pebble recovered; 0 in a new
+// database.
 func readSequence(db *pebble.DB) (uint64, error) {
-	value, found, err := get(db, sequenceKey)
+	value, found, err := getRecord(db, sequenceKey)
 	if err != nil || !found {
 		return 0, err
 	}
-	payload, err := unseal(sequenceKey, value)
+	payload, err := decodeRecord(sequenceKey, value)
 	if err != nil {
 		return 0, err
 	}
 	return binary.BigEndian.Uint64(payload), nil
 }
 
-// verifyLog refuses a folder whose log holds synced records that pebble would
-// not read. It changes nothing in the folder, so it refuses the next time too.
-func (s *Store) verifyLog(folder string, fs vfs.FS) error {
-	logged, err := lastLogged(folder, fs)
+// verifyWAL returns an error if the write-ahead log contains synced records that
+// pebble would not recover. It opens the folder read-only, so the next start fails too.
+func (s *Store) verifyWAL(folder string, fs vfs.FS) error {
+	logged, err := highestInWAL(folder, fs)
 	if err != nil || logged == 0 {
 		return err
 	}
@@ -62,13 +63,13 @@
 		return err
 	}
 	if logged > recovered+1 {
-		return fault.New(fault.Internal, "a record of the log is corrupt: write %d is there, but only writes up to %d can be read", logged, recovered)
+		return fault.New(fault.Internal, "the write-ahead log is corrupt: it contains write %d, but only writes up to %d can be recovered", logged, recovered)
 	}
 	return nil
 }
 
-// lastLogged returns the highest sequence number in the log files.
-func lastLogged(folder string, fs vfs.FS) (uint64, error) {
+// highestInWAL returns the highest sequence number in the write-ahead log files.
+func highestInWAL(folder string, fs vfs.FS) (uint64, error) {
 	names, err := fs.List(folder)
 	if err != nil {
 		return 0, fault.New(fault.Internal, "%v", err)
@@ -78,7 +79,7 @@
 		if !strings.HasSuffix(name, ".log") {
 			continue
 		}
-		data, err := readAll(fs, fs.PathJoin(folder, name))
+		data, err := readFile(fs, fs.PathJoin(folder, name))
 		if err != nil {
 			return 0, fault.New(fault.Internal, "%v", err)
 		}
@@ -87,7 +88,7 @@
 	return highest, nil
 }
 
-func readAll(fs vfs.FS, name string) ([]byte, error) {
+func readFile(fs vfs.FS, name string) ([]byte, error) {
 	f, err := fs.Open(name)
 	if err != nil {
 		return nil, err
@@ -96,8 +97,9 @@
 	return io.ReadAll(f)
 }
 
-// highestSequence finds sequence records by their key, and believes those whose
-// checksum holds. A record that pebble split over two blocks is missed.
+// highestSequence returns the highest sequence number in data. It finds the records by
+// their key and ignores those with a wrong checksum. A record that pebble split over
+// two blocks is missed.
 func highestSequence(data []byte) uint64 {
 	highest := uint64(0)
 	for {
@@ -110,7 +112,7 @@
 		if len(data) < 1+valueBytes || data[0] != valueBytes {
 			continue
 		}
-		payload, err := unseal(sequenceKey, data[1:1+valueBytes])
+		payload, err := decodeRecord(sequenceKey, data[1:1+valueBytes])
 		if err == nil {
 			highest = max(highest, binary.BigEndian.Uint64(payload))
 		}
--- a/server/store/store.go
+++ b/server/store/store.go
@@ -13,35 +13,37 @@
 )
 
 const (
-	// A control group's state is small: these keep the folder and the memory small too.
+	// A control group's state is small: these limit disk and memory use.
 	memTableBytes = 4 << 20
 	cacheBytes    = 4 << 20
 )
 
-// Options for Open.
+// Options configures Open.
 type Options struct {
-	FS     vfs.FS // nil: the operating system's files
+	FS     vfs.FS // nil: the operating system's file system
 	Logger hclog.Logger
-	// PrivateDisk says that only this process sees the disk: modes are not judged.
+	// PrivateDisk skips the check of the data folder's mode; set it only if no other
+	// process can access the disk.
 	PrivateDisk bool
 }
 
-// Store is an open data folder. Everything but Failed, Err and Close belongs to
-// one goroutine.
+// Store is an open data folder. All methods but Failed, Err and Close must be called
+// from one goroutine.
 type Store struct {
 	db   *pebble.DB
 	lock *pebble.Lock
 	log  hclog.Logger
-	// next is one past the last stored entry; first is the lowest that may be stored.
-	first, next uint64
-	sequence    uint64 // of the newest write
+	// nextIndex is one past the last stored entry; firstIndex is the lowest index that
+	// may be stored.
+	firstIndex, nextIndex uint64
+	sequence              uint64 // of the latest write
 
 	failed chan struct{}
-	mu     sync.Mutex // guards err; taken alone
+	mu     sync.Mutex // guards err; no other lock is held with it
 	err    error
 }
 
-// Open opens or makes a data folder and locks it against other processes.
+// Open opens or creates a data folder and locks it against other processes.
 func Open(folder string, o Options) (*Store, error) {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
@@ -49,14 +51,14 @@
 	if o.FS == nil {
 		o.FS = vfs.Default
 	}
-	if err := makeFolder(o.FS, folder, o.PrivateDisk); err != nil {
+	if err := ensureFolder(o.FS, folder, o.PrivateDisk); err != nil {
 		return nil, err
 	}
 	lock, err := pebble.LockDirectory(folder, o.FS)
 	if err != nil {
 		return nil, fault.New(fault.Conflict, "data folder %s is in use by another process, or cannot be locked: %v", folder, err)
 	}
-	s := &Store{lock: lock, log: o.Logger, failed: make(chan struct{}), first: 1, next: 1}
+	s := &Store{lock: lock, log: o.Logger, failed: make(chan struct{}), firstIndex: 1, nextIndex: 1}
 	if err := s.open(folder, o.FS); err != nil {
 		_ = lock.Close()
 		return nil, err
@@ -66,24 +68,24 @@
 
 func (s *Store) open(folder string, fs vfs.FS) (err error) {
 	defer s.recoverFatal(&err)
-	if err := s.verifyLog(folder, fs); err != nil {
-		return unreadable(folder, err)
+	if err := s.verifyWAL(folder, fs); err != nil {
+		return unreadableError(folder, err)
 	}
 	s.db, err = pebble.Open(folder, s.options(fs))
 	if err != nil {
-		return unreadable(folder, err)
+		return unreadableError(folder, err)
 	}
 	if s.sequence, err = readSequence(s.db); err == nil {
-		err = s.findEntries()
+		err = s.loadEntryRange()
 	}
 	if err != nil {
 		_ = s.db.Close()
-		return unreadable(folder, err)
+		return unreadableError(folder, err)
 	}
 	return nil
 }
 
-func unreadable(folder string, cause error) error {
+func unreadableError(folder string, cause error) error {
 	return fault.New(fault.Internal, "data folder %s cannot be read: %v; keep it for inspection, and bring the member back with an empty folder under a new id", folder, cause)
 }
 
@@ -93,107 +95,110 @@
 		DiskSlow:        func(i pebble.DiskSlowInfo) { s.log.Warn("the disk is slow", "path", i.Path, "took", i.Duration) },
 	}
 	return &pebble.Options{
-		FS: fs, Lock: s.lock, Logger: logger{s}, EventListener: listener,
-		// Newest: its log records which bytes were synced, so that a damaged synced
-		// record is told from a torn tail.
+		FS: fs, Lock: s.lock, Logger: pebbleLogger{s}, EventListener: listener,
+		// The newest format records in its log which bytes were synced, which
+		// distinguishes a corrupt synced record from a torn tail.
 		FormatMajorVersion: pebble.FormatNewest,
 		MemTableSize:       memTableBytes,
 		CacheSize:          cacheBytes,
 	}
 }
 
-// Create writes the first records of a new folder in one step.
+// Create writes the initial records of a new folder atomically. An error is final, as
+// in Save.
 func (s *Store) Create(id Identity, d consensus.Durable) error {
 	b := s.db.NewBatch()
 	if err := putIdentity(b, id); err != nil {
 		return err
 	}
-	if err := s.fill(b, &consensus.Write{HardState: d.HardState, Snapshot: d.Snapshot, Entries: d.Entries}); err != nil {
+	if err := s.addWrite(b, &consensus.Write{HardState: d.HardState, Snapshot: d.Snapshot, Entries: d.Entries}); err != nil {
 		return err
 	}
 	return s.commit(b)
 }
 
 // Save makes a write durable. It returns after the sync. An error is final: the
-// caller must acknowledge nothing more and stop the process.
+// caller must send no further acknowledgement and stop the process.
 func (s *Store) Save(w *consensus.Write) error {
 	b := s.db.NewBatch()
-	if err := s.fill(b, w); err != nil {
+	if err := s.addWrite(b, w); err != nil {
 		return err
 	}
 	return s.commit(b)
 }
 
-func (s *Store) fill(b *pebble.Batch, w *consensus.Write) error {
+// addWrite adds the records of w to the batch.
+func (s *Store) addWrite(b *pebble.Batch, w *consensus.Write) error {
 	if w.Reset {
-		if err := b.DeleteRange(entryKey(s.first), entryKey(s.next), nil); err != nil {
-			return fault.New(fault.Internal, "store: %v", err)
+		if err := b.DeleteRange(entryKey(s.firstIndex), entryKey(s.nextIndex), nil); err != nil {
+			return fault.New(fault.Internal, "store: deleting the log: %v", err)
 		}
-		s.first, s.next = w.Snapshot.Meta.Index+1, w.Snapshot.Meta.Index+1
+		s.firstIndex, s.nextIndex = w.Snapshot.Meta.Index+1, w.Snapshot.Meta.Index+1
 	}
-	if err := s.fillEntries(b, w.Entries); err != nil {
+	if err := s.addEntries(b, w.Entries); err != nil {
 		return err
 	}
 	if w.HardState != nil {
-		v, err := sealMessage(hardStateKey, w.HardState)
+		v, err := marshalRecord(hardStateKey, w.HardState)
 		if err != nil {
 			return err
 		}
 		if err := b.Set(hardStateKey, v, nil); err != nil {
-			return fault.New(fault.Internal, "store: %v", err)
+			return fault.New(fault.Internal, "store: writing the hard state: %v", err)
 		}
 	}
 	if w.Snapshot == nil {
 		return nil
 	}
-	return s.fillSnapshot(b, w)
+	return s.addSnapshot(b, w)
 }
 
-func (s *Store) fillEntries(b *pebble.Batch, entries []*coordpb.Entry) error {
+func (s *Store) addEntries(b *pebble.Batch, entries []*coordpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
-	if from := entries[0].Index; from < s.next {
-		// A later leader replaced the tail; the old one must not show up behind it.
-		if err := b.DeleteRange(entryKey(from), entryKey(s.next), nil); err != nil {
-			return fault.New(fault.Internal, "store: %v", err)
+	if from := entries[0].Index; from < s.nextIndex {
+		// A later leader replaced the end of the log; entries of the old one must not
+		// remain after the new ones.
+		if err := b.DeleteRange(entryKey(from), entryKey(s.nextIndex), nil); err != nil {
+			return fault.New(fault.Internal, "store: deleting replaced entries: %v", err)
 		}
 	}
 	for _, e := range entries {
 		k := entryKey(e.Index)
-		v, err := sealMessage(k, e)
+		v, err := marshalRecord(k, e)
 		if err != nil {
 			return err
 		}
 		if err := b.Set(k, v, nil); err != nil {
-			return fault.New(fault.Internal, "store: %v", err)
+			return fault.New(fault.Internal, "store: writing an entry: %v", err)
 		}
 	}
-	s.next = entries[len(entries)-1].Index + 1
+	s.nextIndex = entries[len(entries)-1].Index + 1
 	return nil
 }
 
-// fillSnapshot replaces the snapshot and drops the entries that it makes needless.
-func (s *Store) fillSnapshot(b *pebble.Batch, w *consensus.Write) error {
-	v, err := sealMessage(snapshotKey, w.Snapshot)
+// addSnapshot replaces the snapshot and deletes the entries below w.KeepFrom.
+func (s *Store) addSnapshot(b *pebble.Batch, w *consensus.Write) error {
+	v, err := marshalRecord(snapshotKey, w.Snapshot)
 	if err != nil {
 		return err
 	}
 	if err := b.Set(snapshotKey, v, nil); err != nil {
-		return fault.New(fault.Internal, "store: %v", err)
+		return fault.New(fault.Internal, "store: writing the snapshot: %v", err)
 	}
-	if w.KeepFrom <= s.first {
+	if w.KeepFrom <= s.firstIndex {
 		return nil
 	}
-	if err := b.DeleteRange(entryKey(s.first), entryKey(w.KeepFrom), nil); err != nil {
-		return fault.New(fault.Internal, "store: %v", err)
+	if err := b.DeleteRange(entryKey(s.firstIndex), entryKey(w.KeepFrom), nil); err != nil {
+		return fault.New(fault.Internal, "store: deleting compacted entries: %v", err)
 	}
-	s.first = w.KeepFrom
-	s.next = max(s.next, s.first)
+	s.firstIndex = w.KeepFrom
+	s.nextIndex = max(s.nextIndex, s.firstIndex)
 	return nil
 }
 
-// commit syncs a batch.
+// commit applies a batch with the next sequence number and syncs it.
 func (s *Store) commit(b *pebble.Batch) (err error) {
 	defer s.recoverFatal(&err)
 	if err := s.Err(); err != nil {
@@ -209,7 +214,8 @@
 	return s.Err()
 }
 
-// Close releases the folder. After a failure the database is left as it is.
+// Close closes the database and unlocks the folder. After a disk failure it only
+// unlocks the folder.
 func (s *Store) Close() (err error) {
 	defer s.recoverFatal(&err)
 	if s.Err() == nil {
--- a/server/store/store_test.go
+++ b/server/store/store_test.go
@@ -22,7 +22,7 @@
 	"cowsliptiller/server/store"
 )
 
-// TestMain fixes rapid's seed, so that a check ends the same each time.
+// TestMain sets rapid's seed to 1 unless one is given, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
@@ -50,14 +50,14 @@
 	return out
 }
 
-func open(fs vfs.FS) *store.Store {
+func openStore(fs vfs.FS) *store.Store {
 	s, err := store.Open(folder, store.Options{FS: fs})
 	Expect(err).NotTo(HaveOccurred())
 	return s
 }
 
-func created(fs vfs.FS) *store.Store {
-	s := open(fs)
+func createStore(fs vfs.FS) *store.Store {
+	s := openStore(fs)
 	Expect(s.Create(identity, consensus.Bootstrap([]*coordpb.Member{{Id: 7}}))).To(Succeed())
 	return s
 }
@@ -71,12 +71,12 @@
 }
 
 var _ = Describe("a data folder", func() {
-	It("gives back what was saved, the identity included", func() {
+	It("returns what was saved, including the identity", func() {
 		fs := vfs.NewMem()
-		s := created(fs)
+		s := createStore(fs)
 		Expect(s.Save(&consensus.Write{HardState: &coordpb.HardState{Term: 3, Vote: 2, Commit: 1}, Entries: entries(1, 3, 3), Sync: true})).To(Succeed())
 		Expect(s.Close()).To(Succeed())
-		s = open(fs)
+		s = openStore(fs)
 		id, found, err := s.Identity()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(found).To(BeTrue())
@@ -89,13 +89,13 @@
 
 	It("is locked against a second process", func() {
 		fs := vfs.NewMem()
-		s := created(fs)
+		s := createStore(fs)
 		_, err := store.Open(folder, store.Options{FS: fs})
 		Expect(fault.Is(err, fault.Conflict)).To(BeTrue(), "%v", err)
 		Expect(s.Close()).To(Succeed())
 	})
 
-	It("is made for its owner alone, and refused when it is open to others", func() {
+	It("is created with mode 0700, and rejected if others have access", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "data")
 		s, err := store.Open(dir, store.Options{})
 		Expect(err).NotTo(HaveOccurred())
@@ -108,9 +108,9 @@
 		Expect(fault.Is(err, fault.InvalidRequest)).To(BeTrue(), "%v", err)
 	})
 
-	// The disk's file system keeps no modes. After its first restart a member refused
-	// its own folder, and the fleet had no control for good.
-	It("takes its own folder back whatever its mode on a private disk", func() {
+	// On a file system that does not store modes, members rejected their own folders after
+	// a restart, and the fleet permanently lost its control group.
+	It("accepts an existing folder of any mode on a private disk", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "data")
 		s, err := store.Open(dir, store.Options{PrivateDisk: true})
 		Expect(err).NotTo(HaveOccurred())
@@ -121,9 +121,9 @@
 		Expect(s.Close()).To(Succeed())
 	})
 
-	// The hosts allow no shared memory: a store that maps its files would be
-	// killed there, on the first day, with nothing in its log.
-	It("maps none of its files", func() {
+	// The hosts do not allow shared memory: a process that maps files is killed there
+	// without a log message.
+	It("memory-maps none of its files", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "data")
 		s, err := store.Open(dir, store.Options{})
 		Expect(err).NotTo(HaveOccurred())
@@ -139,10 +139,10 @@
 })
 
 var _ = Describe("a disk that fails", func() {
-	// The disk refuses a sync once, as when it is full or dying, and accepts the
-	// next. The kernel has dropped the pages by then: a store that tried again
-	// would acknowledge a vote that a power cut takes back.
-	It("ends the store at the first failed sync, also when later ones would succeed", func() {
+	// One sync fails, as on a full or failing disk, and the next succeeds. The kernel
+	// has dropped the dirty pages by then: a store that retried the sync would
+	// acknowledge a vote that is lost at a power failure.
+	It("rejects writes after the first failed sync, even if later syncs would succeed", func() {
 		failing := &errorfs.Toggle{Injector: errorfs.InjectorFunc(func(op errorfs.Op) error {
 			switch op.Kind {
 			case errorfs.OpFileSync, errorfs.OpFileSyncData, errorfs.OpFileSyncTo:
@@ -151,7 +151,7 @@
 			return nil
 		})}
 		mem := vfs.NewCrashableMem()
-		s := created(errorfs.Wrap(mem, failing))
+		s := createStore(errorfs.Wrap(mem, failing))
 		failing.On()
 		write := &consensus.Write{HardState: &coordpb.HardState{Term: 9, Vote: 1}, Sync: true}
 		err := s.Save(write)
@@ -161,26 +161,26 @@
 		failing.Off()
 		Expect(s.Save(write)).To(MatchError(ContainSubstring("the process must stop")))
 
-		s = open(mem.CrashClone(vfs.CrashCloneCfg{}))
+		s = openStore(mem.CrashClone(vfs.CrashCloneCfg{}))
 		d, err := s.Load()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(d.HardState.Term).To(BeZero())
 	})
 
-	// A byte of a synced record rots in the write-ahead log, and the host restarts.
-	// Reading on as if the log ended there would deny acknowledged entries.
-	It("tells of a damaged record in the middle of the log", func() {
+	// A bit of a synced record flips in the write-ahead log, and the host restarts.
+	// Treating that record as the end of the log would lose acknowledged entries.
+	It("reports a corrupt record in the middle of the log", func() {
 		fs := vfs.NewMem()
-		s := created(fs)
+		s := createStore(fs)
 		for i := uint64(1); i <= 40; i++ {
 			Expect(s.Save(&consensus.Write{Entries: entries(i, i, 1), Sync: true})).To(Succeed())
 		}
-		// No Close: it would move the log's records to tables.
-		Expect(damage(fs, strings.Repeat("v", 20))).To(Equal(1))
+		// No Close: it would flush the log's records to tables.
+		Expect(flipBit(fs, strings.Repeat("v", 20))).To(Equal(1))
 		copied := vfs.NewMem()
 		_, err := vfs.Clone(fs, copied, folder, folder, vfs.CloneSkip(func(name string) bool { return strings.HasSuffix(name, "LOCK") }))
 		Expect(err).NotTo(HaveOccurred())
-		for range 2 { // the refusal leaves the folder as it is
+		for range 2 { // the failed open must not change the folder
 			_, err = store.Open(folder, store.Options{FS: copied})
 			Expect(err).To(MatchError(ContainSubstring("corrupt")))
 			Expect(err).To(MatchError(ContainSubstring("cannot be read")))
@@ -188,9 +188,10 @@
 	})
 })
 
-// damage flips a bit of a text in the log files and returns in how many.
-func damage(fs *vfs.MemFS, text string) int {
-	damaged := 0
+// flipBit flips a bit of the first occurrence of text in each log file, and returns the
+// number of files changed.
+func flipBit(fs *vfs.MemFS, text string) int {
+	changed := 0
 	names, err := fs.List(folder)
 	Expect(err).NotTo(HaveOccurred())
 	for _, name := range names {
@@ -201,13 +202,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		if at := strings.Index(string(data), text); at >= 0 {
 			data[at+1] ^= 0x10
-			damaged++
+			changed++
 		}
 	}
-	return damaged
+	return changed
 }
 
-// model is what a folder must hold.
+// model is the expected contents of a folder.
 type model struct {
 	hs       *coordpb.HardState
 	snapshot *coordpb.Snapshot
@@ -234,7 +235,7 @@
 	m.hs = w.HardState
 }
 
-// randomWrite draws a write that a member could make in the model's state.
+// randomWrite generates a write that is valid in the model's state.
 func (m *model) randomWrite(t *rapid.T) *consensus.Write {
 	last := m.snapshot.Meta.Index
 	if n := len(m.entries); n > 0 {
@@ -243,10 +244,10 @@
 	term := m.hs.Term + uint64(rapid.IntRange(0, 1).Draw(t, "term"))
 	w := &consensus.Write{HardState: &coordpb.HardState{Term: term}, Sync: true}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
-	case 0: // from the leader
+	case 0: // snapshot received from the leader
 		index := last + uint64(rapid.IntRange(1, 30).Draw(t, "ahead"))
 		w.Snapshot, w.Reset, w.KeepFrom = snapshotAt(index), true, index
-	case 1: // taken here
+	case 1: // local snapshot
 		if last > m.snapshot.Meta.Index {
 			index := rapid.Uint64Range(m.snapshot.Meta.Index+1, last).Draw(t, "index")
 			w.Snapshot, w.KeepFrom = snapshotAt(index), rapid.Uint64Range(m.snapshot.Meta.Index, index).Draw(t, "keep")
@@ -262,15 +263,15 @@
 	return &coordpb.Snapshot{Meta: &coordpb.SnapshotMeta{Index: index}, Data: []byte(strings.Repeat("s", int(index)))}
 }
 
-// TestCrashes saves random writes, cuts the power at any moment, and compares
-// what a new process finds with what was acknowledged. The file system keeps a
-// random part of what was not synced.
+// TestCrashes saves random writes, simulates power failures between them, and compares
+// the contents after reopening with the acknowledged writes. The file system keeps a
+// random part of the unsynced data.
 func TestCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		RegisterTestingT(t)
 		fs := vfs.NewCrashableMem()
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		s := created(fs)
+		s := createStore(fs)
 		m := &model{hs: &coordpb.HardState{}, snapshot: &coordpb.Snapshot{Meta: &coordpb.SnapshotMeta{Membership: &coordpb.Membership{Members: []*coordpb.Member{{Id: 7}}}}}}
 		for range rapid.IntRange(1, 60).Draw(t, "writes") {
 			w := m.randomWrite(t)
@@ -281,7 +282,7 @@
 			}
 			after := fs.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: rapid.SampledFrom([]int{0, 50, 100}).Draw(t, "kept"), RNG: random})
 			_ = s.Close()
-			fs, s = after, open(after)
+			fs, s = after, openStore(after)
 			m.check(s)
 		}
 		_ = s.Close()
