--- a/server/member/doc.go
+++ b/server/member/doc.go
@@ -1,8 +1,8 @@
-// Package member keeps a control role running inside a process that does more than
-// that: it founds or joins the control group, opens the role again after its disk
-// failed, joins anew after the disk or the membership was lost, and, while the role
-// leads, repairs the membership.
+// Package member runs a control role inside a process that also has other roles. A
+// Supervisor founds or joins the control group, reopens the role after its disk
+// failed, rejoins as a new member after the disk or the membership was lost, and, on
+// the leader, removes failed members from the group.
 //
-// Load pattern: hosts with a disk also take callers' requests. A disk that is full
-// or hangs must not stop those.
+// Hosts with a disk also serve callers' requests, and a full or hanging disk must not
+// interrupt those. The role is therefore restarted without stopping the process.
 package member
--- a/server/member/identity.go
+++ b/server/member/identity.go
@@ -15,61 +15,63 @@
 	"cowsliptiller/server/rpc"
 )
 
-// identity says as which member of which group this host takes part.
+// identity is the content of member.json: the member that this host is, and whether it
+// founded the group or joins it.
 type identity struct {
 	Member   uint64
 	Join     bool
-	Founders []string // id=IP:port of each, where the group was founded with this one
+	Founders []string // id=IP:port of each initial member; empty if this one joins
 }
 
 func (s *Supervisor) identityFile() string { return filepath.Join(s.config.Folder, "member.json") }
 
-// identity returns what the disk says, or decides it: a founder at the first start
-// of the fleet, else a new member that joins.
-func (s *Supervisor) identity(ctx context.Context) (identity, error) {
+// loadOrCreateIdentity returns the stored identity, or creates and stores one: a
+// founder's at the first start of the fleet, otherwise that of a new member that joins.
+func (s *Supervisor) loadOrCreateIdentity(ctx context.Context) (identity, error) {
 	text, err := os.ReadFile(s.identityFile())
 	if err == nil {
 		var id identity
 		if err := json.Unmarshal(text, &id); err == nil && id.Member != 0 {
 			return id, nil
 		}
-		// A power loss can leave the file torn: it was synced before the log was
-		// made, so nothing was promised under it.
-		s.config.Log.Warn("identity cannot be read, a new one is made", "file", s.identityFile())
+		// A power failure can leave the file truncated. It is synced before the log is
+		// created, so nothing was acknowledged under this identity.
+		s.config.Log.Warn("invalid identity file; creating a new identity", "file", s.identityFile())
 		if err := os.RemoveAll(s.dataFolder()); err != nil {
 			return identity{}, fault.New(fault.Internal, "remove %s: %v", s.dataFolder(), err)
 		}
 	} else if !os.IsNotExist(err) {
-		return identity{}, fault.New(fault.Internal, "identity: %v", err)
+		return identity{}, fault.New(fault.Internal, "reading the identity file: %v", err)
 	}
 	id := identity{Member: rand.Uint64() | 1<<32, Join: true}
 	if s.config.FirstStart {
-		if id, err = s.found(ctx, id); err != nil {
+		if id, err = s.initialIdentity(ctx, id); err != nil {
 			return identity{}, err
 		}
 	}
 	return id, s.saveIdentity(id)
 }
 
-// saveIdentity returns once the file and its name are synced.
+// saveIdentity writes the identity file and returns after the file and its directory
+// entry are synced.
 func (s *Supervisor) saveIdentity(id identity) error {
 	text, err := json.Marshal(id)
 	if err != nil {
-		return fault.New(fault.Internal, "identity: %v", err)
+		return fault.New(fault.Internal, "encoding the identity: %v", err)
 	}
 	if err := os.MkdirAll(s.config.Folder, 0o700); err != nil {
-		return fault.New(fault.Internal, "identity: %v", err)
+		return fault.New(fault.Internal, "creating the identity folder: %v", err)
 	}
 	f, err := os.OpenFile(s.identityFile(), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		return fault.New(fault.Internal, "identity: %v", err)
+		return fault.New(fault.Internal, "opening the identity file: %v", err)
 	}
 	defer f.Close()
 	if _, err := f.Write(text); err != nil {
-		return fault.New(fault.Internal, "identity: %v", err)
+		return fault.New(fault.Internal, "writing the identity file: %v", err)
 	}
 	if err := f.Sync(); err != nil {
-		return fault.New(fault.Internal, "identity: %v", err)
+		return fault.New(fault.Internal, "syncing the identity file: %v", err)
 	}
 	return syncFolder(s.config.Folder)
 }
@@ -77,23 +79,23 @@
 func syncFolder(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
-		return fault.New(fault.Internal, "sync of %s: %v", path, err)
+		return fault.New(fault.Internal, "opening %s to sync it: %v", path, err)
 	}
 	defer d.Close()
 	if err := d.Sync(); err != nil {
-		return fault.New(fault.Internal, "sync of %s: %v", path, err)
+		return fault.New(fault.Internal, "syncing %s: %v", path, err)
 	}
 	return nil
 }
 
-// found decides, at the first start of the whole fleet, whether this host is among
-// the founders: the seeds that have a disk. All hosts are told the same seeds then
-// and all start, so each of them comes to the same answer. otherwise is returned for
-// a host that is none of them.
-func (s *Supervisor) found(ctx context.Context, otherwise identity) (identity, error) {
+// initialIdentity returns, at the first start of the whole fleet, a founder's identity
+// if this host is one of the founders, the seeds that have a disk, and joining
+// otherwise. All hosts have the same seeds at that time and all start, so each of them
+// computes the same founders.
+func (s *Supervisor) initialIdentity(ctx context.Context, joining identity) (identity, error) {
 	var founders []string
 	for _, seed := range slices.Sorted(slices.Values(s.config.Seeds)) {
-		answer, err := s.ask(ctx, seed)
+		answer, err := s.locateSeed(ctx, seed)
 		if err != nil {
 			return identity{}, err
 		}
@@ -103,7 +105,7 @@
 	}
 	own := slices.Index(founders, s.config.Address)
 	if own < 0 {
-		return otherwise, nil
+		return joining, nil
 	}
 	id := identity{Member: uint64(own + 1)}
 	for i, f := range founders {
@@ -112,8 +114,8 @@
 	return id, nil
 }
 
-// ask asks a seed until it answers.
-func (s *Supervisor) ask(ctx context.Context, seed string) (*rpc.LocateResponse, error) {
+// locateSeed calls Locate on a seed until it answers.
+func (s *Supervisor) locateSeed(ctx context.Context, seed string) (*rpc.LocateResponse, error) {
 	if seed == s.config.Address {
 		return &rpc.LocateResponse{Disk: true}, nil
 	}
@@ -122,16 +124,16 @@
 		if err == nil {
 			return answer, nil
 		}
-		pause(ctx, askInterval)
+		sleep(ctx, seedRetryInterval)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// join asks the group to add this member; the leader gives it a vote once it has
-// caught up.
-func (s *Supervisor) join(ctx context.Context, id identity) {
+// requestJoin asks the group to add this member as a learner; the leader promotes it to
+// a voter once it has caught up.
+func (s *Supervisor) requestJoin(ctx context.Context, id identity) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	_, err := s.config.Control.Forward(ctx, &rpc.ForwardRequest{AddMember: &coordpb.Member{
@@ -140,22 +142,22 @@
 	s.config.Log.Info("member asked to join", "member", id.Member, "error", err)
 }
 
-// unknown reports whether the group's members, as another process tells them, lack this
-// host.
-func (s *Supervisor) unknown(ctx context.Context, id identity) bool {
+// isRemoved reports whether this member is missing from the group's members as returned
+// by another process. It is false if no process returned them.
+func (s *Supervisor) isRemoved(ctx context.Context, id identity) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	members := s.askGroup(ctx)
+	members := s.queryMembers(ctx)
 	return len(members) > 0 && !slices.Contains(members, id.Member)
 }
 
-// askGroup asks all processes that may know the group at once, and returns the members
-// that the first of those told which knows a leader.
-func (s *Supervisor) askGroup(ctx context.Context) []uint64 {
+// queryMembers calls Locate on all processes of Config.Known concurrently, and returns
+// the members from the first answer that names a leader; nil if there is none.
+func (s *Supervisor) queryMembers(ctx context.Context) []uint64 {
 	known := s.config.Known()
 	answers := make(chan []uint64, len(known))
 	for _, address := range known {
-		go func() { answers <- s.membersAt(ctx, address) }()
+		go func() { answers <- s.membersFrom(ctx, address) }()
 	}
 	for range known {
 		if members := <-answers; len(members) > 0 {
@@ -165,9 +167,9 @@
 	return nil
 }
 
-// membersAt returns the group's members as a process tells them; nil where it is this one
-// or knows no leader.
-func (s *Supervisor) membersAt(ctx context.Context, address string) []uint64 {
+// membersFrom returns the group's members from one process; nil if it is this process,
+// fails or has no leader.
+func (s *Supervisor) membersFrom(ctx context.Context, address string) []uint64 {
 	if address == s.config.Address {
 		return nil
 	}
--- a/server/member/member.go
+++ b/server/member/member.go
@@ -20,37 +20,36 @@
 	"cowsliptiller/server/settings"
 )
 
-// Times of the supervisor.
 const (
-	// reopenPause is the wait before a role whose disk failed is opened again: a
-	// full or hanging disk stays so for seconds.
-	reopenPause = time.Second
-	// watchInterval is how often membership is looked after.
-	watchInterval = 300 * time.Millisecond
-	// askInterval is the wait between two rounds of asking the seeds.
-	askInterval = 150 * time.Millisecond
-	// strangerAfter is how long the other members must say that this one is none
-	// of them before it joins anew. A member that has just been added is told so
-	// by all of them within a heartbeat.
-	strangerAfter = 3 * time.Second
+	// reopenDelay is the delay before the role is reopened after a failure: a full or
+	// hanging disk stays so for seconds.
+	reopenDelay = time.Second
+	// monitorInterval is the interval between checks of the membership.
+	monitorInterval = 300 * time.Millisecond
+	// seedRetryInterval is the delay before a seed that did not answer is called again.
+	seedRetryInterval = 150 * time.Millisecond
+	// removalTimeout is how long other processes must report a membership without this
+	// member before it rejoins as a new one. All members list a newly added one
+	// within a heartbeat.
+	removalTimeout = 3 * time.Second
 )
 
-// Config is what a supervisor is made of.
+// Config configures a Supervisor.
 type Config struct {
-	Settings   settings.Options // of the control role; its id and members are filled in
-	Folder     string           // on the disk
+	Settings   settings.Options // of the control role; the supervisor sets its data folder, member id and members
+	Folder     string           // holds the identity file and the data folder
 	Address    string           // of this process's internal listener
-	Seeds      []string         // internal addresses, as at the start
+	Seeds      []string         // internal addresses at process start
 	FirstStart bool             // of the whole fleet
-	Tolerated  int              // members that may be lost at once
+	Tolerated  int              // number of members that may fail at once
 	Secret     *process.Secret
 	Locate     func(ctx context.Context, address string) (*rpc.LocateResponse, error)
-	Known      func() []string // processes that may know the group now: seeds and control processes
-	Control    rpc.Control     // whichever member answers
+	Known      func() []string // addresses to ask for the members: seeds and control processes
+	Control    rpc.Control     // client that calls any available member
 	Log        hclog.Logger
 }
 
-// Supervisor keeps one control role.
+// Supervisor keeps one control role running.
 type Supervisor struct {
 	config  Config
 	role    atomic.Pointer[control.Role]
@@ -62,10 +61,10 @@
 // New returns a supervisor that has not started.
 func New(c Config) *Supervisor { return &Supervisor{config: c} }
 
-// Role returns the role that runs now, nil while none does.
+// Role returns the running role, or nil if none is running.
 func (s *Supervisor) Role() *control.Role { return s.role.Load() }
 
-// ServeHTTP serves the calls of the role that runs now.
+// ServeHTTP passes the request to the running role, or answers 503 if none is running.
 func (s *Supervisor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if h := s.handler.Load(); h != nil {
 		h.ServeHTTP(w, r)
@@ -74,62 +73,63 @@
 	http.Error(w, "this control process is not running", http.StatusServiceUnavailable)
 }
 
-// Start begins to keep the role.
+// Start runs the role in the background until Stop.
 func (s *Supervisor) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.stopped.Go(func() { s.run(ctx) })
 }
 
-// Stop hands leadership over and ends the role.
+// Stop closes the role, which transfers leadership, and waits until it has ended.
 func (s *Supervisor) Stop() {
 	s.cancel()
 	s.stopped.Wait()
 }
 
-// run opens the role again and again.
+// run reopens the role after each failure until the context ends.
 func (s *Supervisor) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := s.serve(ctx)
+		err := s.runRole(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		s.config.Log.Warn("dependency lost", "dependency", "control_member", "error", err)
-		if errors.Is(err, errStranger) || fault.Is(err, fault.Fenced) {
-			s.startOver()
+		if errors.Is(err, errRemoved) || fault.Is(err, fault.Fenced) {
+			s.discardMember()
 		}
-		pause(ctx, reopenPause)
+		sleep(ctx, reopenDelay)
 	}
 }
 
-// errStranger: the group has removed this member.
-var errStranger = errors.New("the group does not count this member any more")
+// errRemoved is returned when the group has removed this member.
+var errRemoved = errors.New("this member was removed from the group")
 
-// startOver drops a folder whose member the group does not know any more. What it
-// held is held by the others: they removed it by a majority without it.
-func (s *Supervisor) startOver() {
+// discardMember deletes the data and the identity of a member that is no longer in the
+// group. The other members hold its committed entries: they removed it by a majority
+// without it.
+func (s *Supervisor) discardMember() {
 	if err := os.RemoveAll(s.dataFolder()); err != nil {
-		s.config.Log.Error("old data not removed", "folder", s.dataFolder(), "error", err)
+		s.config.Log.Error("removing the old data folder failed", "folder", s.dataFolder(), "error", err)
 		return
 	}
 	if err := os.Remove(s.identityFile()); err != nil && !os.IsNotExist(err) {
-		s.config.Log.Error("old identity not removed", "file", s.identityFile(), "error", err)
+		s.config.Log.Error("removing the old identity file failed", "file", s.identityFile(), "error", err)
 		return
 	}
 	s.config.FirstStart = false
-	s.config.Log.Info("member starts over", "address", s.config.Address)
+	s.config.Log.Info("member data discarded; joining as a new member", "address", s.config.Address)
 }
 
 func (s *Supervisor) dataFolder() string { return filepath.Join(s.config.Folder, "log") }
 
-// serve runs the role until it fails or the context ends.
-func (s *Supervisor) serve(ctx context.Context) error {
-	id, err := s.identity(ctx)
+// runRole opens and runs the role until it fails or the context ends.
+func (s *Supervisor) runRole(ctx context.Context) error {
+	id, err := s.loadOrCreateIdentity(ctx)
 	if err != nil {
 		return err
 	}
 	failed := make(chan error, 1)
-	role, err := s.open(id, failed)
+	role, err := s.openRole(id, failed)
 	if err != nil {
 		return err
 	}
@@ -146,13 +146,15 @@
 		s.role.Store(nil)
 		s.handler.Store(nil)
 		if err := role.Close(); err != nil {
-			s.config.Log.Warn("control member closed with an error", "error", err)
+			s.config.Log.Warn("closing the control member failed", "error", err)
 		}
 	}()
-	return s.watch(ctx, role, id, failed)
+	return s.monitorMembership(ctx, role, id, failed)
 }
 
-func (s *Supervisor) open(id identity, failed chan error) (*control.Role, error) {
+// openRole opens the control role. Its first failure is sent to failed, which must have
+// a buffer of 1.
+func (s *Supervisor) openRole(id identity, failed chan error) (*control.Role, error) {
 	o := s.config.Settings
 	o.Control.DataFolder, o.Control.MemberID = s.dataFolder(), id.Member
 	o.Control.Join, o.Control.Members = id.Join, id.Founders
@@ -164,11 +166,12 @@
 	})
 }
 
-// watch looks after the membership until the role fails.
-func (s *Supervisor) watch(ctx context.Context, role *control.Role, id identity, failed <-chan error) error {
-	ticker := time.NewTicker(watchInterval)
+// monitorMembership repairs the group while the role leads, requests to join it, and
+// detects the removal of this member. It returns when the role fails or the context ends.
+func (s *Supervisor) monitorMembership(ctx context.Context, role *control.Role, id identity, failed <-chan error) error {
+	ticker := time.NewTicker(monitorInterval)
 	defer ticker.Stop()
-	stranger := time.Duration(0)
+	missing := time.Duration(0) // how long other processes have reported a membership without this member
 	for {
 		select {
 		case <-ctx.Done():
@@ -183,19 +186,19 @@
 		}
 		switch {
 		case st.Leader != 0:
-			stranger = 0
+			missing = 0
 		case id.Join && len(st.Members) == 0:
-			s.join(ctx, id)
-		case s.unknown(ctx, id):
-			stranger += watchInterval
+			s.requestJoin(ctx, id)
+		case s.isRemoved(ctx, id):
+			missing += monitorInterval
 		}
-		if stranger >= strangerAfter {
-			return errStranger
+		if missing >= removalTimeout {
+			return errRemoved
 		}
 	}
 }
 
-// repair removes a member that the group should not count any more.
+// repair removes at most one failed member from the group, as chosen by fleet.Repair.
 func (s *Supervisor) repair(ctx context.Context, role *control.Role) {
 	st := role.Status()
 	var members []fleet.Member
@@ -212,7 +215,8 @@
 	s.config.Log.Info("member removed", "member", gone, "reason", reason, "error", err)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
