--- a/server/process/doc.go
+++ b/server/process/doc.go
@@ -1,3 +1,4 @@
-// Package process is what every cowslipd process has whatever its roles: listeners,
-// proof of identity between processes, health and metrics, start and shutdown.
+// Package process implements what all roles of a cowslipd process share: listeners,
+// request authentication between processes, health and metrics endpoints, startup and
+// graceful shutdown.
 package process
--- a/server/process/health.go
+++ b/server/process/health.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// health answers whether the process lives and whether it can take work.
+// health serves the liveness, readiness and metrics endpoints.
 type health struct {
 	roles    []Role
 	stopping atomic.Bool
@@ -19,8 +19,8 @@
 	fmt.Fprintln(w, "ok")
 }
 
-// ready is refused from the first moment of a shutdown, so that a balancer
-// sends no new work before the listener closes.
+// ready answers 503 from the start of a shutdown, so that a load balancer stops
+// sending requests before the listener closes.
 func (h *health) ready(w http.ResponseWriter, _ *http.Request) {
 	if h.stopping.Load() {
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
--- a/server/process/process_test.go
+++ b/server/process/process_test.go
@@ -30,9 +30,9 @@
 		return r
 	}
 
-	// A process of another fleet, or a listener on the path who repeats what it
-	// heard, calls an agent. Were it believed, anybody could load models.
-	DescribeTable("is refused",
+	// A process of another fleet, or an eavesdropper that replays a request, calls an
+	// agent. If its requests were accepted, anybody could load models.
+	DescribeTable("is rejected",
 		func(request func() *http.Request) { Expect(ours.Verify(request())).To(BeFalse()) },
 		Entry("without a proof", func() *http.Request { return httptest.NewRequest(http.MethodPost, "/a", nil) }),
 		Entry("under another secret", func() *http.Request {
@@ -43,16 +43,16 @@
 			r.URL.Path = "/b"
 			return r
 		}),
-		Entry("when it is old", func() *http.Request {
+		Entry("when it has expired", func() *http.Request {
 			return signed(process.NewSecret([]byte("the fleet's secret"), func() time.Time { return now.Add(-3 * time.Minute) }), "/a")
 		}),
 	)
 
-	It("is believed from a process that has the secret", func() {
+	It("is accepted from a process that has the secret", func() {
 		Expect(ours.Verify(signed(ours, "/a"))).To(BeTrue())
 	})
 
-	It("is not begun with a secret that others can read, or that is too short", func() {
+	It("needs a secret that only its owner can read and that is long enough", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "secret")
 		Expect(os.WriteFile(path, []byte("0123456789abcdef"), 0o644)).To(Succeed())
 		_, err := process.ReadSecret(path)
--- a/server/process/processtest/counting.go
+++ b/server/process/processtest/counting.go
@@ -1,5 +1,4 @@
-// Package processtest has what tests of several packages need of connections between
-// processes.
+// Package processtest provides test helpers for connections between processes.
 package processtest
 
 import (
@@ -7,7 +6,7 @@
 	"sync/atomic"
 )
 
-// CountingListener counts the bytes of its connections, in both directions.
+// CountingListener adds the bytes read and written on its accepted connections to Bytes.
 type CountingListener struct {
 	net.Listener
 	Bytes *atomic.Int64
--- a/server/process/proof.go
+++ b/server/process/proof.go
@@ -14,18 +14,19 @@
 	"cowsliptiller/coord/fault"
 )
 
-// proofHeader carries "unix-ms.nonce.mac". The secret itself never travels, so
-// that a listener on the path learns nothing that stays valid for long.
+// proofHeader is the request header that carries "unix-ms.nonce.mac". The secret
+// itself is never sent, so that an eavesdropper obtains only a short-lived proof.
 const proofHeader = "Cowslip-Proof"
 
-// proofWindow bounds the age of a proof. Two minutes is above the clock
-// difference of hosts that keep time at all.
-const proofWindow = 2 * time.Minute
+// maxProofAge is the largest accepted difference between the time in a proof and the
+// local clock. Two minutes exceeds the clock skew of hosts that synchronize their clocks.
+const maxProofAge = 2 * time.Minute
 
-// minSecretBytes keeps an empty or trivial file from becoming the fleet's secret.
+// minSecretBytes rejects an empty or trivially short secret file.
 const minSecretBytes = 16
 
-// Secret proves a process of this fleet to another.
+// Secret authenticates requests between the processes of a fleet with an HMAC over
+// method, path, time and nonce.
 type Secret struct {
 	key []byte
 	now func() time.Time
@@ -51,7 +52,7 @@
 	}
 	key := strings.TrimSpace(string(text))
 	if len(key) < minSecretBytes {
-		return nil, fault.New(fault.InvalidRequest, "secret file %s holds %d bytes, at least %d are needed", path, len(key), minSecretBytes)
+		return nil, fault.New(fault.InvalidRequest, "secret file %s has %d bytes, need at least %d", path, len(key), minSecretBytes)
 	}
 	return NewSecret([]byte(key), time.Now), nil
 }
@@ -65,7 +66,9 @@
 	r.Header.Set(proofHeader, ms+"."+n+"."+s.mac(r.Method, r.URL.Path, ms, n))
 }
 
-// Verify reports whether an incoming request carries a fresh proof.
+// Verify reports whether an incoming request carries a valid proof whose time differs
+// from the local clock by at most maxProofAge. Nonces are not stored, so a proof can be
+// replayed during that time.
 func (s *Secret) Verify(r *http.Request) bool {
 	parts := strings.Split(r.Header.Get(proofHeader), ".")
 	if len(parts) != 3 {
@@ -77,10 +80,11 @@
 	}
 	age := s.now().Sub(time.UnixMilli(ms)).Abs()
 	want := s.mac(r.Method, r.URL.Path, parts[0], parts[1])
-	return age <= proofWindow && hmac.Equal([]byte(want), []byte(parts[2]))
+	return age <= maxProofAge && hmac.Equal([]byte(want), []byte(parts[2]))
 }
 
-// Require passes on only requests that carry a proof.
+// Require returns a handler that passes requests with a valid proof to next, without
+// the proof header, and answers others with status 401.
 func (s *Secret) Require(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !s.Verify(r) {
--- a/server/process/role.go
+++ b/server/process/role.go
@@ -5,21 +5,21 @@
 	"net/http"
 )
 
-// Role is one of entry, agent and control inside a process.
+// Role is an entry, agent or control role of a process.
 type Role interface {
 	// Name is the role as written in --roles.
 	Name() string
-	// Mount adds the role's handlers to the internal listener; the caller has
-	// already proved that it is one of our processes.
+	// Mount registers the role's handlers on the internal listener, which has
+	// authenticated each request as sent by a process of the fleet.
 	Mount(internal *http.ServeMux)
-	// Start begins background work and opens the role's own listeners. It
+	// Start starts background work and opens the role's own listeners. It
 	// returns once the role runs; the role stops when Close is called.
 	Start(ctx context.Context) error
-	// Ready is nil when the role can do its work now; the error says why not.
+	// Ready returns nil if the role can do its work now, otherwise the reason why not.
 	Ready() error
-	// Drain stops taking new work and returns when what runs has finished, or
+	// Drain stops accepting new work and returns when running work has finished, or
 	// with the context's error.
 	Drain(ctx context.Context) error
-	// Close ends background work. It is called once, after Drain.
+	// Close stops background work. It is called once, after Drain.
 	Close() error
 }
--- a/server/process/runner.go
+++ b/server/process/runner.go
@@ -13,10 +13,11 @@
 	"cowsliptiller/coord/fault"
 )
 
-// closeTimeout bounds what is left after a drain: connections without a request.
+// closeTimeout bounds the shutdown of the listeners after a drain, when only connections
+// without a request should be left.
 const closeTimeout = 5 * time.Second
 
-// Runner runs the roles of one process from start to shutdown.
+// Runner runs the roles of one process from startup to shutdown.
 type Runner struct {
 	InternalAddress string // IP:port
 	HealthAddress   string // IP:port; empty: no health listener
@@ -26,20 +27,20 @@
 	Registry        *prometheus.Registry
 	Log             hclog.Logger
 
-	health  *health
-	servers []*http.Server
-	failed  chan error
-	end     time.Time // when a shutdown must be over; zero: none was asked for
+	health           *health
+	servers          []*http.Server
+	serveErrors      chan error
+	shutdownDeadline time.Time // zero until a shutdown was requested
 }
 
-// Run starts everything and returns after a graceful shutdown, which begins
-// when stop is closed. Closing abort as well ends the process at once: Run then
-// returns without waiting for running requests.
+// Run starts the listeners and the roles, and returns after a graceful shutdown, which
+// starts when stop is closed. If abort is closed as well, Run returns without waiting
+// for running requests.
 func (r *Runner) Run(stop, abort <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.health = &health{roles: r.Roles}
-	r.failed = make(chan error, 2)
+	r.serveErrors = make(chan error, 2)
 	defer r.closeServers()
 	if err := r.listen(); err != nil {
 		return err
@@ -54,7 +55,7 @@
 	defer r.closeRoles(r.Roles)
 	select {
 	case <-stop:
-	case err := <-r.failed:
+	case err := <-r.serveErrors:
 		return err
 	}
 	return r.drain(abort)
@@ -83,19 +84,19 @@
 	r.servers = append(r.servers, server)
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			r.failed <- err
+			r.serveErrors <- err
 		}
 	}()
 	return nil
 }
 
-// drain lets running requests end. The internal listener stays open meanwhile:
-// an entry host still needs its agents, and they need control.
+// drain waits for running requests. The internal listener stays open meanwhile: an
+// entry host still needs its agents, and they need control.
 func (r *Runner) drain(abort <-chan struct{}) error {
 	r.health.stopping.Store(true)
 	r.Log.Info("shutting down: waiting for running requests", "at_most", r.DrainTimeout)
-	r.end = time.Now().Add(r.DrainTimeout)
-	ctx, cancel := context.WithDeadline(context.Background(), r.end)
+	r.shutdownDeadline = time.Now().Add(r.DrainTimeout)
+	ctx, cancel := context.WithDeadline(context.Background(), r.shutdownDeadline)
 	defer cancel()
 	go func() {
 		select {
@@ -106,7 +107,7 @@
 	}()
 	for _, role := range r.Roles {
 		if err := role.Drain(ctx); err != nil {
-			r.Log.Warn("shutdown did not wait for everything", "role", role.Name(), "error", err)
+			r.Log.Warn("drain incomplete", "role", role.Name(), "error", err)
 			return err
 		}
 	}
@@ -117,19 +118,19 @@
 func (r *Runner) closeRoles(roles []Role) {
 	for _, role := range roles {
 		if err := role.Close(); err != nil {
-			r.Log.Warn("close", "role", role.Name(), "error", err)
+			r.Log.Warn("closing the role failed", "role", role.Name(), "error", err)
 		}
 	}
 }
 
-// closeServers ends the listeners. Calls of other processes that are still under way are
-// waited for within the shutdown's time only: with the whole of closeTimeout on top of a
-// long drain, the process was still there at the end of its grace and was killed.
+// closeServers shuts down the listeners. It waits for running calls of other processes
+// only until shutdownDeadline: with all of closeTimeout on top of a long drain, the
+// process exceeded its termination grace period and was killed.
 func (r *Runner) closeServers() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	if !r.end.IsZero() {
-		ctx, cancel = context.WithDeadline(ctx, r.end)
+	if !r.shutdownDeadline.IsZero() {
+		ctx, cancel = context.WithDeadline(ctx, r.shutdownDeadline)
 		defer cancel()
 	}
 	for _, s := range r.servers {
--- a/server/process/transport.go
+++ b/server/process/transport.go
@@ -8,30 +8,30 @@
 	"cowsliptiller/server/dial"
 )
 
-// Bounds on connections between our processes. A connection that something on
-// the path has forgotten gives no error: writes go nowhere and no reply comes.
-// HTTP/2 pings find it within pingIdle + pingWait and the next request opens a
-// new connection, while requests on the dead one fail at once.
+// Timeouts of connections between processes of the fleet. A connection whose state was
+// dropped by a device on the path returns no error: writes are lost and no reply arrives.
+// HTTP/2 pings detect it within pingAfterIdle + pingTimeout; requests on it then fail at
+// once and the next request opens a new connection.
 const (
-	dialTimeout = time.Second
-	pingIdle    = 500 * time.Millisecond
-	pingWait    = 500 * time.Millisecond
-	idleTimeout = 30 * time.Second
+	dialTimeout   = time.Second
+	pingAfterIdle = 500 * time.Millisecond
+	pingTimeout   = 500 * time.Millisecond
+	idleTimeout   = 30 * time.Second
 )
 
-// SlowestLink is the least that a link between our processes is taken to carry, in bytes a
-// second: the narrowest in use has 10 Mbit/s.
+// SlowestLink is the assumed minimum bandwidth of a link between processes of the fleet,
+// in bytes per second. The slowest link in use has 10 Mbit/s.
 const SlowestLink = 1 << 20
 
-// maxInternalHeader bounds the header of an internal request.
-const maxInternalHeader = 64 << 10
+// maxInternalHeaderBytes is the maximum size of the headers of an internal request.
+const maxInternalHeaderBytes = 64 << 10
 
-// SilenceBound is the longest time that a request between our processes waits
-// on a connection that has gone silent.
-const SilenceBound = pingIdle + pingWait
+// SilenceBound is the maximum time that a request between processes of the fleet waits on
+// a dead connection.
+const SilenceBound = pingAfterIdle + pingTimeout
 
-// Client returns an HTTP client for calls to our own processes. It signs each
-// request, and follows no redirect.
+// Client returns an HTTP client for calls to processes of the fleet. It signs each
+// request and does not follow redirects.
 func Client(s *Secret) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
@@ -39,15 +39,16 @@
 		DialContext:     dial.Again((&net.Dialer{}).DialContext, dialTimeout),
 		IdleConnTimeout: idleTimeout,
 		Protocols:       protocols,
-		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingIdle, PingTimeout: pingWait},
+		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfterIdle, PingTimeout: pingTimeout},
 	}
 	return &http.Client{
-		Transport:     signer{secret: s, next: transport},
+		Transport:     signingTransport{secret: s, next: transport},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// InternalServer returns the server of the internal listener.
+// InternalServer returns the HTTP server of the internal listener. It requires a valid
+// proof on each request.
 func InternalServer(s *Secret, mux http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -57,18 +58,19 @@
 		Protocols:         protocols,
 		ReadHeaderTimeout: 5 * time.Second,
 		IdleTimeout:       2 * idleTimeout,
-		MaxHeaderBytes:    maxInternalHeader,
-		HTTP2:             &http.HTTP2Config{SendPingTimeout: pingIdle, PingTimeout: pingWait},
+		MaxHeaderBytes:    maxInternalHeaderBytes,
+		HTTP2:             &http.HTTP2Config{SendPingTimeout: pingAfterIdle, PingTimeout: pingTimeout},
 	}
 }
 
-type signer struct {
+// signingTransport adds a proof to each request.
+type signingTransport struct {
 	secret *Secret
 	next   http.RoundTripper
 }
 
-// RoundTrip implements http.RoundTripper on a copy of the request.
-func (s signer) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip implements http.RoundTripper. It signs a copy of the request.
+func (s signingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	signed := r.Clone(r.Context())
 	s.secret.Sign(signed)
 	return s.next.RoundTrip(signed)
