--- a/coord/residency/scheduler.go
+++ b/coord/residency/scheduler.go
@@ -142,7 +142,7 @@
 	}
 	if ready := s.forecast(w, now); now.Add(ready).After(w.Deadline) {
 		expected := w.WillRetry && s.expectRetry(w, ready, now)
-		return WaitResult{ID: w.ID, RetryAfter: ready, WillLoad: expected, Reason: "it would be ready too late"}, true
+		return WaitResult{ID: w.ID, RetryAfter: ready, WillLoad: expected, Reason: "the model would not be ready before the request's deadline"}, true
 	}
 	s.waiters[w.ID] = &w
 	return WaitResult{}, false
--- a/server/gateway/path_test.go
+++ b/server/gateway/path_test.go
@@ -222,7 +222,7 @@
 	It("is refused at once with the agent's word when to come back", func() {
 		f := newFleet("models", answer(200, ""))
 		f.wire.ensure = func(context.Context, *rpc.EnsureRequest) (*rpc.EnsureResponse, error) {
-			return &rpc.EnsureResponse{RetryAfterMs: 4500, Reason: "it would be ready too late"}, nil
+			return &rpc.EnsureResponse{RetryAfterMs: 4500, Reason: "the model would not be ready before the request's deadline"}, nil
 		}
 		r := send(f.request("POST", "/once/", platform.HeaderModel, "rare"))
 		Expect(r.status).To(Equal(503))
@@ -245,7 +245,7 @@
 		f.wire.ensure = func(_ context.Context, r *rpc.EnsureRequest) (*rpc.EnsureResponse, error) {
 			asked = append(asked, r.Retries)
 			after := []uint32{5100, 2300, 4500}[len(asked)-1]
-			return &rpc.EnsureResponse{RetryAfterMs: after, Reason: "it would be ready too late", Expected: len(asked) == 2}, nil
+			return &rpc.EnsureResponse{RetryAfterMs: after, Reason: "the model would not be ready before the request's deadline", Expected: len(asked) == 2}, nil
 		}
 		Eventually(f.lines.String).Should(ContainSubstring("i-other-1"))
 		r := send(f.request("POST", "/once/", platform.HeaderModel, "rare"))
@@ -306,7 +306,7 @@
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
-			return &rpc.EnsureResponse{RetryAfterMs: 6000, Reason: "it would be ready too late"}, nil
+			return &rpc.EnsureResponse{RetryAfterMs: 6000, Reason: "the model would not be ready before the request's deadline"}, nil
 		}
 		replies := sendLater(f.request("POST", "/once/", platform.HeaderModel, "rare"))
 		Eventually(waiting).Should(BeClosed())
