--- a/coord/standings/doc.go
+++ b/coord/targetstatus/doc.go
@@ -1,4 +1,4 @@
-// Package standings is the control leader's table of the status of all targets. It merges
+// Package targetstatus is the control leader's table of the status of all targets. It merges
 // the platform's target list, which lags by seconds, with the reports of the agents next to
 // the targets, which are current but can be missing. It also records the demand of the
 // fleet's callers for each model.
@@ -11,4 +11,4 @@
 //
 // Callers pass the current time as an argument. Callers serialize access; the package
 // holds no lock.
-package standings
+package targetstatus
--- a/coord/standings/feed_test.go
+++ b/coord/targetstatus/feed_test.go
@@ -1,4 +1,4 @@
-package standings_test
+package targetstatus_test
 
 import (
 	"fmt"
@@ -9,16 +9,16 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 )
 
 // Guards against an agent's demand deviating from the leader's by more than the tolerance, also
 // after lost replies, leader changes, and models that gain and lose their demand.
 func TestADemandCacheFollowsTheFeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		feed, epoch, at := standings.NewDemandFeed(), uint64(1), now
-		cache := standings.NewDemandCache()
-		demand := map[string]standings.Demand{}
+		feed, epoch, at := targetstatus.NewDemandFeed(), uint64(1), now
+		cache := targetstatus.NewDemandCache()
+		demand := map[string]targetstatus.Demand{}
 		decay := func(d time.Duration) {
 			for model, one := range demand {
 				one.ValuePerSecond *= math.Exp(-d.Seconds() / 6)
@@ -26,7 +26,7 @@
 			}
 		}
 		publish := func() {
-			var sum []standings.Demand
+			var sum []targetstatus.Demand
 			for i := range 6 {
 				if d, ok := demand[fmt.Sprint("m-", i)]; ok {
 					sum = append(sum, d)
@@ -38,7 +38,7 @@
 			"demand": func(t *rapid.T) {
 				model := fmt.Sprint("m-", rapid.IntRange(0, 5).Draw(t, "model"))
 				copies := rapid.IntRange(0, 3).Draw(t, "copies")
-				demand[model] = standings.Demand{
+				demand[model] = targetstatus.Demand{
 					Model: model, ValuePerSecond: rapid.Float64Range(0, 500).Draw(t, "value"),
 					Copies: copies, Saturated: rapid.IntRange(0, copies).Draw(t, "pressed"),
 				}
@@ -53,7 +53,7 @@
 				publish()
 			},
 			"new leader": func(t *rapid.T) {
-				feed, epoch = standings.NewDemandFeed(), epoch+1
+				feed, epoch = targetstatus.NewDemandFeed(), epoch+1
 			},
 			"reply": func(t *rapid.T) {
 				publish()
@@ -62,8 +62,8 @@
 					since = 0
 				}
 				changed, whole := feed.Since(since, at)
-				cache.Apply(standings.DemandUpdate{Epoch: epoch, Version: feed.Version(), Whole: whole, Changed: changed}, at)
-				got := map[string]standings.Demand{}
+				cache.Apply(targetstatus.DemandUpdate{Epoch: epoch, Version: feed.Version(), Whole: whole, Changed: changed}, at)
+				got := map[string]targetstatus.Demand{}
 				for _, d := range cache.Current(at) {
 					got[d.Model] = d
 				}
@@ -83,10 +83,10 @@
 // Guards against sending each agent the demand for all models in every reply.
 func TestOnlyChangedDemandIsSent(t *testing.T) {
 	g := NewWithT(t)
-	feed, at := standings.NewDemandFeed(), now
-	var sum []standings.Demand
+	feed, at := targetstatus.NewDemandFeed(), now
+	var sum []targetstatus.Demand
 	for i := range 700 {
-		sum = append(sum, standings.Demand{Model: fmt.Sprintf("m-%03d", i), ValuePerSecond: 20, Copies: 1})
+		sum = append(sum, targetstatus.Demand{Model: fmt.Sprintf("m-%03d", i), ValuePerSecond: 20, Copies: 1})
 	}
 	feed.Publish(sum, at)
 	before := feed.Version()
--- a/coord/standings/rank.go
+++ b/coord/targetstatus/rank.go
@@ -1,4 +1,4 @@
-package standings
+package targetstatus
 
 import (
 	"cmp"
--- a/coord/standings/table_test.go
+++ b/coord/targetstatus/table_test.go
@@ -1,4 +1,4 @@
-package standings_test
+package targetstatus_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 )
 
 // Guards against rows that go stale because a report updates the rows at its own address only:
@@ -16,15 +16,15 @@
 // and a client that applies the changes must have the same rows.
 func TestIncrementalUpdateMatchesRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, rebuilt := standings.NewTable(1), standings.NewTable(1)
-		clientRows, version, at := map[string]standings.Status{}, uint64(0), now
-		target := func() standings.Status {
+		table, rebuilt := targetstatus.NewTable(1), targetstatus.NewTable(1)
+		clientRows, version, at := map[string]targetstatus.Status{}, uint64(0), now
+		target := func() targetstatus.Status {
 			return listed(fmt.Sprint("i-", rapid.IntRange(0, 5).Draw(t, "instance")), fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(0, 3).Draw(t, "address")))
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"list": func(t *rapid.T) {
 				seen := map[string]bool{}
-				var list []standings.Status
+				var list []targetstatus.Status
 				for range rapid.IntRange(0, 5).Draw(t, "targets") {
 					if s := target(); !seen[s.Instance] {
 						seen[s.Instance] = true
@@ -37,7 +37,7 @@
 			"report": func(t *rapid.T) {
 				s, alive := target(), rapid.IntRange(0, 4).Draw(t, "alive") > 0
 				s.Running = rapid.IntRange(0, 3).Draw(t, "running")
-				s.Models = []standings.HeldModel{{Name: fmt.Sprint("m-", rapid.IntRange(0, 2).Draw(t, "model"))}}
+				s.Models = []targetstatus.HeldModel{{Name: fmt.Sprint("m-", rapid.IntRange(0, 2).Draw(t, "model"))}}
 				table.Report(s, alive, at)
 				rebuilt.Report(s, alive, at)
 				rebuilt.Expire(at)
@@ -86,7 +86,7 @@
 }
 
 // rows formats a table's rows without Version, which depends on the number of rebuilds.
-func rows(t *standings.Table) string {
+func rows(t *targetstatus.Table) string {
 	out := ""
 	for _, s := range t.All() {
 		row := *s
@@ -100,8 +100,8 @@
 // with 3000 targets.
 func BenchmarkReportAndPoll(b *testing.B) {
 	const targets = 3000
-	table := standings.NewTable(1)
-	var list []standings.Status
+	table := targetstatus.NewTable(1)
+	var list []targetstatus.Status
 	for i := range targets {
 		list = append(list, listed(fmt.Sprint("i-", i), fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)))
 	}
@@ -120,8 +120,8 @@
 // Guards against changes of other targets in the result for a single report.
 func TestReportChangesOneRow(t *testing.T) {
 	g := NewWithT(t)
-	table := standings.NewTable(1)
-	table.SetList([]standings.Status{listed("i-1", "10.0.0.1:1"), listed("i-2", "10.0.0.2:1")}, now)
+	table := targetstatus.NewTable(1)
+	table.SetList([]targetstatus.Status{listed("i-1", "10.0.0.1:1"), listed("i-2", "10.0.0.2:1")}, now)
 	s := listed("i-2", "10.0.0.2:1")
 	table.Report(s, true, now)
 	s.Running = 3
@@ -136,14 +136,14 @@
 
 func TestNearCountsTargetsThatCanLoadFromTheirOwnCopy(t *testing.T) {
 	g := NewWithT(t)
-	table := standings.NewTable(1)
-	for i, change := range []func(*standings.Status){
-		func(*standings.Status) {},
-		func(s *standings.Status) { s.Models = []standings.HeldModel{{Name: "m"}} },
-		func(s *standings.Status) { s.Loading = "other" },
-		func(s *standings.Status) { s.Draining = true },
-		func(s *standings.Status) { s.Running = s.Slots },
-		func(s *standings.Status) { s.CachedModels = nil },
+	table := targetstatus.NewTable(1)
+	for i, change := range []func(*targetstatus.Status){
+		func(*targetstatus.Status) {},
+		func(s *targetstatus.Status) { s.Models = []targetstatus.HeldModel{{Name: "m"}} },
+		func(s *targetstatus.Status) { s.Loading = "other" },
+		func(s *targetstatus.Status) { s.Draining = true },
+		func(s *targetstatus.Status) { s.Running = s.Slots },
+		func(s *targetstatus.Status) { s.CachedModels = nil },
 	} {
 		s := listed(fmt.Sprint("i-", i), fmt.Sprintf("10.0.0.%d:1", i))
 		s.CachedModels = []string{"m"}
@@ -157,7 +157,7 @@
 // Guards against sending the models of all targets with each change of their load.
 func TestLoadChangeKeepsDescriptionVersion(t *testing.T) {
 	g := NewWithT(t)
-	table := standings.NewTable(1)
+	table := targetstatus.NewTable(1)
 	s := reportedTarget("i-1", "rare")
 	table.Report(s, true, now)
 	before := table.Version()
@@ -166,7 +166,7 @@
 	changed, _, _ := table.Since(before)
 	g.Expect(changed).To(HaveLen(1))
 	g.Expect(changed[0].DescribedBy(before)).To(BeTrue())
-	s.Models = append(s.Models, standings.HeldModel{Name: "other"})
+	s.Models = append(s.Models, targetstatus.HeldModel{Name: "other"})
 	table.Report(s, true, now)
 	changed, _, _ = table.Since(before)
 	g.Expect(changed[0].DescribedBy(before)).To(BeFalse())
--- a/coord/standings/standings_test.go
+++ b/coord/targetstatus/targetstatus_test.go
@@ -1,4 +1,4 @@
-package standings_test
+package targetstatus_test
 
 import (
 	"fmt"
@@ -8,21 +8,21 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 )
 
 func TestStandings(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "standings")
+	RunSpecs(t, "targetstatus")
 }
 
 var now = time.Unix(1000, 0)
 
-func listed(instance, address string) standings.Status {
-	return standings.Status{Instance: instance, Service: "s", Address: address, FailureDomain: "d", Slots: 8}
+func listed(instance, address string) targetstatus.Status {
+	return targetstatus.Status{Instance: instance, Service: "s", Address: address, FailureDomain: "d", Slots: 8}
 }
 
-func instances(t *standings.Table) []string {
+func instances(t *targetstatus.Table) []string {
 	var out []string
 	for _, s := range t.All() {
 		out = append(out, s.Instance)
@@ -32,10 +32,10 @@
 
 var _ = Describe("the status table", func() {
 	It("merges the list with an agent's report", func() {
-		t := standings.NewTable(1)
-		t.SetList([]standings.Status{listed("i-1", "10.0.0.1:1"), listed("i-2", "10.0.0.2:1")}, now)
+		t := targetstatus.NewTable(1)
+		t.SetList([]targetstatus.Status{listed("i-1", "10.0.0.1:1"), listed("i-2", "10.0.0.2:1")}, now)
 		r := listed("i-1", "10.0.0.1:1")
-		r.Slots, r.Running, r.Models = 0, 3, []standings.HeldModel{{Name: "m"}}
+		r.Slots, r.Running, r.Models = 0, 3, []targetstatus.HeldModel{{Name: "m"}}
 		t.Report(r, true, now)
 		Expect(instances(t)).To(Equal([]string{"i-1", "i-2"}))
 		Expect(t.All()[0]).To(HaveField("Slots", 8))
@@ -46,19 +46,19 @@
 
 	// Guards against routing to a crashed target, which the list contains for some seconds.
 	It("omits a listed target that does not answer its agent", func() {
-		t := standings.NewTable(1)
-		t.SetList([]standings.Status{listed("i-1", "10.0.0.1:1")}, now)
-		t.Report(standings.Status{Service: "s", Address: "10.0.0.1:1"}, false, now)
+		t := targetstatus.NewTable(1)
+		t.SetList([]targetstatus.Status{listed("i-1", "10.0.0.1:1")}, now)
+		t.Report(targetstatus.Status{Service: "s", Address: "10.0.0.1:1"}, false, now)
 		Expect(instances(t)).To(BeEmpty())
-		t.Expire(now.Add(standings.DownReportTTL + time.Second))
+		t.Expire(now.Add(targetstatus.DownReportTTL + time.Second))
 		Expect(instances(t)).To(Equal([]string{"i-1"}))
 	})
 
 	// Guards against routing by the old instance id after a restart at the same address: the new
 	// instance rejects such requests.
 	It("replaces the listed instance by the one that answers at its address", func() {
-		t := standings.NewTable(1)
-		t.SetList([]standings.Status{listed("i-1", "10.0.0.1:1")}, now)
+		t := targetstatus.NewTable(1)
+		t.SetList([]targetstatus.Status{listed("i-1", "10.0.0.1:1")}, now)
 		t.Report(listed("i-9", "10.0.0.1:1"), true, now)
 		Expect(instances(t)).To(Equal([]string{"i-9"}))
 	})
@@ -66,36 +66,36 @@
 	// Guards against losing a target whose address was reassigned from another service, while
 	// that service's agent still reports the old target as down.
 	It("ignores a report of another service's agent on a listed target", func() {
-		t := standings.NewTable(1)
+		t := targetstatus.NewTable(1)
 		other := listed("i-5", "10.0.0.1:1")
 		other.Service = "other"
-		t.SetList([]standings.Status{other}, now)
-		t.Report(standings.Status{Service: "s", Address: "10.0.0.1:1"}, false, now)
+		t.SetList([]targetstatus.Status{other}, now)
+		t.Report(targetstatus.Status{Service: "s", Address: "10.0.0.1:1"}, false, now)
 		Expect(instances(t)).To(Equal([]string{"i-5"}))
 	})
 
 	It("marks a target as draining if either the list or its agent does", func() {
-		t := standings.NewTable(1)
+		t := targetstatus.NewTable(1)
 		s := listed("i-1", "10.0.0.1:1")
 		s.Draining = true
-		t.SetList([]standings.Status{s}, now)
+		t.SetList([]targetstatus.Status{s}, now)
 		t.Report(listed("i-1", "10.0.0.1:1"), true, now)
 		Expect(t.All()[0].Draining).To(BeTrue())
 	})
 
 	It("uses the list entry when the agent's report has expired", func() {
-		t := standings.NewTable(1)
-		t.SetList([]standings.Status{listed("i-1", "10.0.0.1:1")}, now)
+		t := targetstatus.NewTable(1)
+		t.SetList([]targetstatus.Status{listed("i-1", "10.0.0.1:1")}, now)
 		r := listed("i-1", "10.0.0.1:1")
 		r.Running = 5
 		t.Report(r, true, now)
-		t.Expire(now.Add(standings.ReportTTL + time.Millisecond))
+		t.Expire(now.Add(targetstatus.ReportTTL + time.Millisecond))
 		Expect(t.All()[0]).To(HaveField("Running", 0))
 	})
 
 	It("returns to a client of any version the changes since then", func() {
-		t := standings.NewTable(1)
-		clientRows := map[string]standings.Status{}
+		t := targetstatus.NewTable(1)
+		clientRows := map[string]targetstatus.Status{}
 		version := uint64(0)
 		catchUp := func() {
 			changed, gone, whole := t.Since(version)
@@ -111,7 +111,7 @@
 			version = t.Version()
 		}
 		for round := range 600 {
-			var list []standings.Status
+			var list []targetstatus.Status
 			for i := range 5 {
 				if (round+i)%3 != 0 {
 					s := listed(fmt.Sprint("i-", i), fmt.Sprint("10.0.0.", i, ":1"))
@@ -135,18 +135,18 @@
 // Guards against the polls of hundreds of entry hosts using all of the control leader's CPU.
 var _ = Describe("the poll interval", func() {
 	It("bounds the leader's replies a second as hosts are added", func() {
-		Expect(standings.PollInterval(1)).To(Equal(200 * time.Millisecond))
-		Expect(standings.PollInterval(28)).To(Equal(200 * time.Millisecond))
+		Expect(targetstatus.PollInterval(1)).To(Equal(200 * time.Millisecond))
+		Expect(targetstatus.PollInterval(28)).To(Equal(200 * time.Millisecond))
 		for hosts := 40; hosts <= 200; hosts += 10 {
-			Expect(float64(hosts) / standings.PollInterval(hosts).Seconds()).To(BeNumerically("<=", 201))
+			Expect(float64(hosts) / targetstatus.PollInterval(hosts).Seconds()).To(BeNumerically("<=", 201))
 		}
-		Expect(standings.PollInterval(100_000)).To(BeNumerically("<", standings.ReportTTL))
+		Expect(targetstatus.PollInterval(100_000)).To(BeNumerically("<", targetstatus.ReportTTL))
 	})
 })
 
 var _ = Describe("the demand for models", func() {
 	It("is the weighted request rate and decays", func() {
-		u := standings.NewRateMeter(now)
+		u := targetstatus.NewRateMeter(now)
 		for i := range 300 {
 			u.Add("m", 2, now.Add(time.Duration(i)*100*time.Millisecond))
 		}
@@ -159,17 +159,17 @@
 	// Guards against a new control leader that publishes no demand because it has no record yet:
 	// agents then unload the busiest model, and its callers are refused until it is reloaded.
 	It("is unknown at first, and close to the actual rate from then on", func() {
-		table, u := standings.NewTable(1), standings.NewRateMeter(now)
+		table, u := targetstatus.NewTable(1), targetstatus.NewRateMeter(now)
 		s := listed("i-1", "10.0.0.1:1")
-		s.Models, s.Slots, s.Running = []standings.HeldModel{{Name: "busy"}}, 4, 4
+		s.Models, s.Slots, s.Running = []targetstatus.HeldModel{{Name: "busy"}}, 4, 4
 		for i := range 10 {
 			at := now.Add(time.Duration(i) * 100 * time.Millisecond)
 			table.Report(s, true, at)
 			u.Add("busy", 2, at)
-			_, known := standings.SumDemand(table, u, at)
+			_, known := targetstatus.SumDemand(table, u, at)
 			Expect(known).To(BeFalse())
 		}
-		demand, known := standings.SumDemand(table, u, now.Add(time.Second))
+		demand, known := targetstatus.SumDemand(table, u, now.Add(time.Second))
 		Expect(known).To(BeTrue())
 		Expect(demand).To(HaveLen(1))
 		Expect(demand[0].ValuePerSecond).To(BeNumerically("~", 20, 3))
@@ -184,9 +184,9 @@
 		for m := range 600 {
 			model := fmt.Sprint("m", m)
 			list := idleTargets(12)
-			first := standings.RankForLoad(list, modelToLoad(model))[0].Instance
+			first := targetstatus.RankForLoad(list, modelToLoad(model))[0].Instance
 			list[0], list[7] = list[7], list[0]
-			Expect(standings.RankForLoad(list, modelToLoad(model))[0].Instance).To(Equal(first))
+			Expect(targetstatus.RankForLoad(list, modelToLoad(model))[0].Instance).To(Equal(first))
 			count[first]++
 		}
 		for _, n := range count {
@@ -198,8 +198,8 @@
 		moved := 0
 		for m := range 300 {
 			model := fmt.Sprint("m", m)
-			before := standings.RankForLoad(idleTargets(12), modelToLoad(model))[0].Instance
-			after := standings.RankForLoad(idleTargets(11), modelToLoad(model))[0].Instance
+			before := targetstatus.RankForLoad(idleTargets(12), modelToLoad(model))[0].Instance
+			after := targetstatus.RankForLoad(idleTargets(11), modelToLoad(model))[0].Instance
 			if before != "i-11" && before != after {
 				moved++
 			}
@@ -211,14 +211,14 @@
 		list := idleTargets(4)
 		list[0].Loading, list[1].CachedModels, list[2].Loading = "other", []string{"m"}, "m"
 		list[0].LoadWait = 5 * time.Second
-		ranked := standings.RankForLoad(list, modelToLoad("m"))
+		ranked := targetstatus.RankForLoad(list, modelToLoad("m"))
 		Expect([]string{ranked[0].Instance, ranked[1].Instance, ranked[3].Instance}).To(Equal([]string{"i-2", "i-1", "i-0"}))
 	})
 })
 
 // idleTargets returns n targets that hold and load no model.
-func idleTargets(n int) []standings.Status {
-	var out []standings.Status
+func idleTargets(n int) []targetstatus.Status {
+	var out []targetstatus.Status
 	for i := range n {
 		out = append(out, listed(fmt.Sprint("i-", i), fmt.Sprint("10.0.0.", i, ":1")))
 	}
@@ -226,8 +226,8 @@
 }
 
 // modelToLoad returns a model with typical load times.
-func modelToLoad(model string) standings.LoadTimes {
-	return standings.LoadTimes{Model: model, FromStore: 6 * time.Second, FromDisk: time.Second}
+func modelToLoad(model string) targetstatus.LoadTimes {
+	return targetstatus.LoadTimes{Model: model, FromStore: 6 * time.Second, FromDisk: time.Second}
 }
 
 // Guards against one target that loads all rare models in turn while others are idle.
@@ -242,7 +242,7 @@
 		loadTime, longest := map[string]time.Duration{}, time.Duration(0)
 		for m := range 10 {
 			model := fmt.Sprint("m", m)
-			first := standings.RankForLoad(list, modelToLoad(model))[0].Instance
+			first := targetstatus.RankForLoad(list, modelToLoad(model))[0].Instance
 			loadTime[first] += time.Second
 			longest = max(longest, loadTime[first])
 			for i := range list {
@@ -262,9 +262,9 @@
 			list[i].CachedModels = []string{"m"}
 		}
 		list[2].PendingModels, list[2].LoadWait = []string{"m"}, 900*time.Millisecond
-		Expect(standings.RankForLoad(list, modelToLoad("m"))[0].Instance).To(Equal("i-2"))
+		Expect(targetstatus.RankForLoad(list, modelToLoad("m"))[0].Instance).To(Equal("i-2"))
 		list[2].LoadWait = 8 * time.Second
-		Expect(standings.RankForLoad(list, modelToLoad("m"))[0].Instance).NotTo(Equal("i-2"))
+		Expect(targetstatus.RankForLoad(list, modelToLoad("m"))[0].Instance).NotTo(Equal("i-2"))
 	})
 
 	It("puts saturated targets with a copy after others", func() {
@@ -273,6 +273,6 @@
 			list[i].CachedModels, list[i].Reported, list[i].Slots = []string{"m"}, true, 4
 		}
 		list[0].Running = 4
-		Expect(standings.RankForLoad(list, modelToLoad("m"))[0].Instance).To(Equal("i-1"))
+		Expect(targetstatus.RankForLoad(list, modelToLoad("m"))[0].Instance).To(Equal("i-1"))
 	})
 })
--- a/server/board/board.go
+++ b/server/board/board.go
@@ -10,7 +10,7 @@
 	"cowsliptiller/coord/coordpb"
 	"cowsliptiller/coord/fault"
 	"cowsliptiller/coord/residency"
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 	"cowsliptiller/server/rpc"
 )
 
@@ -37,7 +37,7 @@
 	// Leading returns the term that this process leads in, and whether it does now.
 	Leading func() (term uint64, leading bool)
 	// List reads the platform's list of targets.
-	List func(ctx context.Context) (list []standings.Status, skipped int, err error)
+	List func(ctx context.Context) (list []targetstatus.Status, skipped int, err error)
 	// Deployment returns the deployment in force, nil before the first.
 	Deployment func() *coordpb.Deployment
 	// StoreWindow is the window in which loads from the weight store are counted.
@@ -52,11 +52,11 @@
 
 	mu          sync.Mutex
 	term        uint64
-	table       *standings.Table
-	use         *standings.RateMeter
+	table       *targetstatus.Table
+	use         *targetstatus.RateMeter
 	gate        *residency.LoadLimiter
 	changed     chan struct{} // closed at the next change of the table
-	demand      *standings.DemandFeed
+	demand      *targetstatus.DemandFeed
 	demandKnown bool
 	summedAt    time.Time // when the demand was summed up last
 	watchers    map[string]time.Time
@@ -129,9 +129,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.table == nil || b.term != term {
-		b.term, b.table, b.use = term, standings.NewTable(blankVersion), standings.NewRateMeter(now)
+		b.term, b.table, b.use = term, targetstatus.NewTable(blankVersion), targetstatus.NewRateMeter(now)
 		b.gate = residency.NewLoadLimiter(b.loadsPerSecond(), b.config.StoreWindow, now)
-		b.watchers, b.demand, b.summedAt = map[string]time.Time{}, standings.NewDemandFeed(), time.Time{}
+		b.watchers, b.demand, b.summedAt = map[string]time.Time{}, targetstatus.NewDemandFeed(), time.Time{}
 		b.demandKnown = false
 		b.config.Log.Info("board opened", "term", term)
 		b.wantList()
@@ -224,7 +224,7 @@
 // filling reports whether targets or models may be there that the board does not have.
 // The caller holds mu.
 func (b *Board) filling(now time.Time) bool {
-	return standings.Incomplete(b.table, b.use, b.runsModels, now)
+	return targetstatus.Incomplete(b.table, b.use, b.runsModels, now)
 }
 
 func (b *Board) runsModels(service string) bool {
@@ -302,8 +302,8 @@
 	if now.Sub(b.summedAt) < useInterval {
 		return b.demandKnown
 	}
-	var sum []standings.Demand
-	sum, b.demandKnown = standings.SumDemand(b.table, b.use, now)
+	var sum []targetstatus.Demand
+	sum, b.demandKnown = targetstatus.SumDemand(b.table, b.use, now)
 	if b.demandKnown {
 		b.demand.Publish(sum, now)
 	}
--- a/server/board/board_test.go
+++ b/server/board/board_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"cowsliptiller/coord/coordpb"
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 	"cowsliptiller/server/board"
 	"cowsliptiller/server/rpc"
 )
@@ -32,7 +32,7 @@
 		b = board.New(board.Config{
 			Leading:     func() (uint64, bool) { return term, leading },
 			Deployment:  func() *coordpb.Deployment { return &coordpb.Deployment{} },
-			List:        func(context.Context) ([]standings.Status, int, error) { return nil, 0, nil },
+			List:        func(context.Context) ([]targetstatus.Status, int, error) { return nil, 0, nil },
 			StoreWindow: 5 * time.Second, Now: func() time.Time { return now }, Log: hclog.NewNullLogger(),
 		})
 	})
@@ -102,8 +102,8 @@
 			Deployment: func() *coordpb.Deployment {
 				return &coordpb.Deployment{Services: []*coordpb.DeploymentService{{Name: "s", Engine: &coordpb.DeploymentEngine{}}}}
 			},
-			List: func(context.Context) ([]standings.Status, int, error) {
-				return []standings.Status{{Instance: "i-1", Service: "s", Address: "10.0.0.1:1"}}, 0, nil
+			List: func(context.Context) ([]targetstatus.Status, int, error) {
+				return []targetstatus.Status{{Instance: "i-1", Service: "s", Address: "10.0.0.1:1"}}, 0, nil
 			},
 			StoreWindow: 5 * time.Second, Now: func() time.Time { return now }, Log: hclog.NewNullLogger(),
 		})
--- a/server/board/convert.go
+++ b/server/board/convert.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 	"cowsliptiller/server/rpc"
 )
 
 // ToRPC returns the message of a standing.
-func ToRPC(s *standings.Status) *rpc.Standing {
+func ToRPC(s *targetstatus.Status) *rpc.Standing {
 	out := &rpc.Standing{
 		Instance: s.Instance, Service: s.Service, Address: s.Address, FailureDomain: s.FailureDomain,
 		Slots: uint32(s.Slots), Draining: s.Draining, Agent: s.Agent, Running: uint32(s.Running),
@@ -23,23 +23,23 @@
 }
 
 // FromRPC returns the standing of a message.
-func FromRPC(s *rpc.Standing) standings.Status {
-	out := standings.Status{
+func FromRPC(s *rpc.Standing) targetstatus.Status {
+	out := targetstatus.Status{
 		Instance: s.Instance, Service: s.Service, Address: s.Address, FailureDomain: s.FailureDomain,
 		Slots: int(s.Slots), Draining: s.Draining, Agent: s.Agent,
 		Version: s.Version, CachedModels: s.AtHand, Reported: s.Reported, StartedUnixMs: s.BornUnixMs,
-		Load: standings.Load{
+		Load: targetstatus.Load{
 			Running: int(s.Running), Queued: int(s.Queued), Loading: s.Loading,
 			LoadWait: time.Duration(s.LoadWaitMs) * time.Millisecond, PendingModels: s.Awaited,
 		},
 	}
 	for _, m := range s.Models {
-		out.Models = append(out.Models, standings.HeldModel{Name: m.Name, Adapters: m.Adapters})
+		out.Models = append(out.Models, targetstatus.HeldModel{Name: m.Name, Adapters: m.Adapters})
 	}
 	return out
 }
 
-func loadToRPC(s *standings.Status) *rpc.TargetLoad {
+func loadToRPC(s *targetstatus.Status) *rpc.TargetLoad {
 	return &rpc.TargetLoad{
 		Instance: s.Instance, Running: uint32(s.Running), Queued: uint32(s.Queued), Loading: s.Loading,
 		LoadWaitMs: uint32(s.LoadWait.Milliseconds()), Awaited: s.PendingModels, Version: s.Version,
@@ -47,25 +47,25 @@
 }
 
 // LoadFromRPC returns the load of a message.
-func LoadFromRPC(l *rpc.TargetLoad) standings.LoadUpdate {
-	return standings.LoadUpdate{
+func LoadFromRPC(l *rpc.TargetLoad) targetstatus.LoadUpdate {
+	return targetstatus.LoadUpdate{
 		Instance: l.Instance, Version: l.Version,
-		Load: standings.Load{
+		Load: targetstatus.Load{
 			Running: int(l.Running), Queued: int(l.Queued), Loading: l.Loading,
 			LoadWait: time.Duration(l.LoadWaitMs) * time.Millisecond, PendingModels: l.Awaited,
 		},
 	}
 }
 
-func demandToRPC(d standings.Demand) *rpc.ModelUse {
+func demandToRPC(d targetstatus.Demand) *rpc.ModelUse {
 	return &rpc.ModelUse{Model: d.Model, ValuePerS: d.ValuePerSecond, Copies: uint32(d.Copies), Pressed: uint32(d.Saturated)}
 }
 
 // DemandFromRPC returns the demand that a reply to an agent's report holds.
-func DemandFromRPC(r *rpc.StandingReportResponse) standings.DemandUpdate {
-	u := standings.DemandUpdate{Epoch: r.UseEpoch, Version: r.UseVersion, Whole: r.UseWhole}
+func DemandFromRPC(r *rpc.StandingReportResponse) targetstatus.DemandUpdate {
+	u := targetstatus.DemandUpdate{Epoch: r.UseEpoch, Version: r.UseVersion, Whole: r.UseWhole}
 	for _, d := range r.Use {
-		u.Changed = append(u.Changed, standings.Demand{
+		u.Changed = append(u.Changed, targetstatus.Demand{
 			Model: d.Model, ValuePerSecond: d.ValuePerS, Copies: int(d.Copies), Saturated: int(d.Pressed),
 		})
 	}
--- a/server/board/traffic_test.go
+++ b/server/board/traffic_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"cowsliptiller/coord/coordpb"
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 	"cowsliptiller/server/board"
 	"cowsliptiller/server/rpc"
 )
@@ -37,7 +37,7 @@
 	f.Board = board.New(board.Config{
 		Leading:     func() (uint64, bool) { return 1, true },
 		Deployment:  func() *coordpb.Deployment { return &coordpb.Deployment{} },
-		List:        func(context.Context) ([]standings.Status, int, error) { return nil, 0, nil },
+		List:        func(context.Context) ([]targetstatus.Status, int, error) { return nil, 0, nil },
 		StoreWindow: 5 * time.Second, Now: func() time.Time { return f.now }, Log: hclog.NewNullLogger(),
 	})
 	return f
@@ -87,7 +87,7 @@
 		b.now = b.now.Add(every)
 	}
 	span := (rounds - warmUp) * every.Seconds()
-	polls := fleetHosts / standings.PollInterval(fleetHosts).Seconds()
+	polls := fleetHosts / targetstatus.PollInterval(fleetHosts).Seconds()
 	hosts := float64(toHosts) / (rounds - warmUp) * polls
 	t.Logf("%.0f kB/s to %d hosts, %.0f kB/s to %d agents", hosts/1000, fleetHosts, float64(toAgents)/span/1000, fleetTargets)
 	g.Expect(hosts + float64(toAgents)/span).To(BeNumerically("<", statusShare))
--- a/server/daemon/platform.go
+++ b/server/daemon/platform.go
@@ -17,7 +17,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"golang.org/x/time/rate"
 
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 	"cowsliptiller/platform"
 	"cowsliptiller/server/board"
 	"cowsliptiller/server/events"
@@ -210,7 +210,7 @@
 		list := &platform.List{Address: b.process.ListAddress, Client: plainClient(), Turn: listTurn(b.process.ListRate)}
 		b.board = board.New(board.Config{
 			Leading: c.leading, Deployment: c.deployment, StoreWindow: b.process.Bounds.StoreWindow,
-			List: func(ctx context.Context) ([]standings.Status, int, error) { return readList(ctx, list) },
+			List: func(ctx context.Context) ([]targetstatus.Status, int, error) { return readList(ctx, list) },
 			Now:  time.Now, Log: b.log.Named("board"),
 		})
 	}
@@ -233,19 +233,19 @@
 	return rate.NewLimiter(rate.Limit(own), max(1, int(own/2))).Wait
 }
 
-func readList(ctx context.Context, list *platform.List) ([]standings.Status, int, error) {
+func readList(ctx context.Context, list *platform.List) ([]targetstatus.Status, int, error) {
 	targets, skipped, err := list.Read(ctx)
 	if err != nil {
 		return nil, 0, err
 	}
-	out := make([]standings.Status, 0, len(targets))
+	out := make([]targetstatus.Status, 0, len(targets))
 	for _, t := range targets {
-		s := standings.Status{
+		s := targetstatus.Status{
 			Instance: t.Instance, Service: t.Service, Address: t.Address, FailureDomain: t.FailureDomain,
 			Slots: t.Slots, Draining: t.Draining, StartedUnixMs: t.BornUnixMs,
 		}
 		for _, m := range t.Models {
-			s.Models = append(s.Models, standings.HeldModel{Name: m.Name, Adapters: m.Adapters})
+			s.Models = append(s.Models, targetstatus.HeldModel{Name: m.Name, Adapters: m.Adapters})
 		}
 		out = append(out, s)
 	}
--- a/server/gateway/models.go
+++ b/server/gateway/models.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cowsliptiller/coord/fault"
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 	"cowsliptiller/server/rpc"
 )
 
@@ -52,9 +52,9 @@
 }
 
 // loadTimes says what a call's model takes to load.
-func loadTimes(c *call) standings.LoadTimes {
+func loadTimes(c *call) targetstatus.LoadTimes {
 	m := c.service.Models[c.Model] // nil, and no time known, for a model that is not configured
-	return standings.LoadTimes{
+	return targetstatus.LoadTimes{
 		Model:     c.Model,
 		FromStore: time.Duration(m.GetLoadS() * float64(time.Second)),
 		FromDisk:  time.Duration(m.GetDiskS() * float64(time.Second)),
@@ -65,7 +65,7 @@
 // host is told to stop meanwhile, the agent is asked again for what can come before that:
 // it refuses at once what cannot. Errors: fault.NoCapacity with when to come back,
 // fault.Leaving.
-func (g *Gateway) ensure(ctx context.Context, c *call, home standings.Status) error {
+func (g *Gateway) ensure(ctx context.Context, c *call, home targetstatus.Status) error {
 	if !g.leaving() {
 		err := g.ensureUntil(ctx, c, home, g.draining)
 		if err == nil || !g.leaving() || ctx.Err() != nil {
@@ -80,7 +80,7 @@
 }
 
 // ensureUntil asks an agent once. The call ends when stop is closed.
-func (g *Gateway) ensureUntil(ctx context.Context, c *call, home standings.Status, stop <-chan struct{}) error {
+func (g *Gateway) ensureUntil(ctx context.Context, c *call, home targetstatus.Status, stop <-chan struct{}) error {
 	limit := g.modelLimit(c.start.Add(c.patience() - ensureSlack).Sub(g.config.Now()))
 	if limit <= 0 {
 		return fault.After(fault.NoCapacity, coldRetryAfter, "model %q was not ready in time", c.modelName())
--- a/server/gateway/targets.go
+++ b/server/gateway/targets.go
@@ -12,7 +12,7 @@
 	"cowsliptiller/coord/fault"
 	"cowsliptiller/coord/request"
 	"cowsliptiller/coord/routing"
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 	"cowsliptiller/platform"
 	"cowsliptiller/server/board"
 	"cowsliptiller/server/events"
@@ -36,7 +36,7 @@
 
 	mu      sync.Mutex // guards everything below
 	router  *routing.Router
-	known   *standings.TableCache
+	known   *targetstatus.TableCache
 	epoch   uint64
 	version uint64
 	hosts   int
@@ -52,7 +52,7 @@
 	return &targets{
 		config: c, events: c.Events,
 		router: routing.New(c.Caller.GetFailureDomain(), routing.DefaultSettings(), rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		known:  standings.NewTableCache(), use: map[string]float64{}, hosts: 1, began: c.Now(), changed: make(chan struct{}),
+		known:  targetstatus.NewTableCache(), use: map[string]float64{}, hosts: 1, began: c.Now(), changed: make(chan struct{}),
 		backlog: request.NewBacklog(),
 	}
 }
@@ -60,7 +60,7 @@
 // watch follows the board.
 func (t *targets) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := standings.PollInterval(t.entryHosts())
+		wait := targetstatus.PollInterval(t.entryHosts())
 		var renewed <-chan struct{}
 		if err := t.poll(ctx); err != nil {
 			t.noteLost(err)
@@ -144,8 +144,8 @@
 	t.route(now)
 }
 
-func updateOf(r *rpc.WatchResponse) standings.Update {
-	u := standings.Update{Removed: r.Gone, Whole: r.Whole, Incomplete: r.Filling}
+func updateOf(r *rpc.WatchResponse) targetstatus.Update {
+	u := targetstatus.Update{Removed: r.Gone, Whole: r.Whole, Incomplete: r.Filling}
 	for _, m := range r.Standings {
 		u.Changed = append(u.Changed, board.FromRPC(m))
 	}
@@ -180,14 +180,14 @@
 	}
 }
 
-func (t *targets) serve(v routing.View, s *standings.Status, name string) {
+func (t *targets) serve(v routing.View, s *targetstatus.Status, name string) {
 	key := s.Service + ":" + name
 	v.Serving[key] = append(v.Serving[key], routing.Replica{Target: s.Instance, Version: s.Version})
 }
 
 // place is a target to send a call to.
 type place struct {
-	standings.Status
+	targetstatus.Status
 	query routing.Request
 }
 
@@ -242,16 +242,16 @@
 
 // homes returns the targets that may load a model for a service, the one that would hold
 // it first in front.
-func (t *targets) homes(service string, a standings.LoadTimes, exclude []string) []standings.Status {
+func (t *targets) homes(service string, a targetstatus.LoadTimes, exclude []string) []targetstatus.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []standings.Status
+	var list []targetstatus.Status
 	for _, s := range t.known.All() {
 		if s.Service == service && !s.Draining && s.Reported && s.Agent != "" && !slices.Contains(exclude, s.Instance) {
 			list = append(list, *s)
 		}
 	}
-	return standings.RankForLoad(list, a)
+	return targetstatus.RankForLoad(list, a)
 }
 
 func (t *targets) started(p place) {
--- a/server/steward/loader.go
+++ b/server/steward/loader.go
@@ -7,7 +7,7 @@
 
 	"cowsliptiller/coord/fault"
 	"cowsliptiller/coord/residency"
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 	"cowsliptiller/server/board"
 	"cowsliptiller/server/rpc"
 )
@@ -121,7 +121,7 @@
 	return r
 }
 
-func (s *Steward) takeDemand(u standings.DemandUpdate) {
+func (s *Steward) takeDemand(u targetstatus.DemandUpdate) {
 	now := s.config.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/server/steward/steward.go
+++ b/server/steward/steward.go
@@ -12,7 +12,7 @@
 	"cowsliptiller/coord/deployment"
 	"cowsliptiller/coord/fault"
 	"cowsliptiller/coord/residency"
-	"cowsliptiller/coord/standings"
+	"cowsliptiller/coord/targetstatus"
 	"cowsliptiller/platform"
 	"cowsliptiller/server/events"
 	"cowsliptiller/server/rpc"
@@ -75,7 +75,7 @@
 
 	mu         sync.Mutex // guards everything below
 	keeper     *residency.Scheduler
-	demand     *standings.DemandCache
+	demand     *targetstatus.DemandCache
 	version    uint64 // of the deployment that the keeper has
 	waiting    map[string]chan residency.WaitResult
 	nextWant   uint64
@@ -94,7 +94,7 @@
 // New returns a steward that has not started.
 func New(c Config) *Steward {
 	return &Steward{
-		config: c, keeper: residency.NewScheduler(), demand: standings.NewDemandCache(), waiting: map[string]chan residency.WaitResult{},
+		config: c, keeper: residency.NewScheduler(), demand: targetstatus.NewDemandCache(), waiting: map[string]chan residency.WaitResult{},
 		wake: make(chan struct{}, 1), seen: make(chan struct{}, 1),
 	}
 }
@@ -311,7 +311,7 @@
 	out := residency.Report{
 		Instance: s.instance, StartID: s.start(), Busy: r.Busy, Sequence: r.Orders, Models: map[string][]string{},
 		LoadingAdapters: map[string][]string{}, InMemory: r.InMemory, OnDisk: r.OnDisk,
-		Saturated: standings.Saturated(r.Running, r.Queued, s.slots),
+		Saturated: targetstatus.Saturated(r.Running, r.Queued, s.slots),
 	}
 	for _, m := range r.Models {
 		out.Models[m.Name] = m.Adapters
