--- a/coord/target/queue.go
+++ b/coord/target/queue.go
@@ -54,12 +54,12 @@
 	queue              fair.Queue
 	waiting            map[string]*waitingWork
 	waitingAlone       int                        // waiting requests that must run alone
-	waitingByWorkspace [fair.Bands]map[string]int // waiting requests by workspace, for each band
+	waitingByWorkspace [fair.NumBands]map[string]int // waiting requests by workspace, for each band
 	running            map[string]*runningWork
 	runningLong        int
 	runningAlone       bool // a request that must run alone is running
 	draining           bool
-	stats              fair.Speed
+	stats              fair.ServiceStats
 	meanTokens         float64 // moving mean of Work.Tokens of the started requests
 }
 
@@ -83,7 +83,7 @@
 		prefixes:           NewPrefixes(),
 		waiting:            make(map[string]*waitingWork),
 		running:            make(map[string]*runningWork),
-		waitingByWorkspace: [fair.Bands]map[string]int{{}, {}, {}},
+		waitingByWorkspace: [fair.NumBands]map[string]int{{}, {}, {}},
 	}
 }
 
@@ -133,7 +133,7 @@
 	if len(q.waiting) == 0 && len(q.running) < q.limit.Current() {
 		return 0
 	}
-	return q.stats.Drain(q.queue.Ahead(w.Workspace, w.Weight, w.Band))
+	return q.stats.DrainTime(q.queue.TokensAhead(w.Workspace, w.Weight, w.Band))
 }
 
 // Pop returns the next request to start, or false if none may start now. It must be called
@@ -207,7 +207,7 @@
 	if ok {
 		q.stats.Observe(r.work.Band, now.Sub(r.started))
 	}
-	q.stats.End(now, r.work.Tokens, len(q.waiting) > 0)
+	q.stats.ObserveEnd(now, r.work.Tokens, len(q.waiting) > 0)
 }
 
 // Cancel removes a request that its client canceled, if it is waiting; then waited is true
