--- a/server/wire/frames.go
+++ b/server/wire/frames.go
@@ -12,36 +12,37 @@
 	"cowsliptiller/server/rpc"
 )
 
-// ContentType is the type of a framed answer.
+// ContentType is the media type of a framed response.
 const ContentType = "application/vnd.cowsliptiller.frames"
 
-// MaxChunk is the most bytes of an answer in one frame.
+// MaxChunk is the maximum number of response body bytes in one frame.
 const MaxChunk = 32 << 10
 
-// maxFrame bounds a frame: a chunk, its head, and the model list of a load
-// report at 300 models with names of 128 bytes.
+// maxFrame bounds the encoded size of a frame, in bytes: a chunk, the other
+// fields, and the model list of a load report with 300 models whose names have
+// 128 bytes each.
 const maxFrame = MaxChunk + 64<<10
 
-// Writer writes the frames of one attempt's answer. It is used by one goroutine.
+// Writer writes the response frames of one attempt. It is not safe for concurrent use.
 type Writer struct {
-	attempt  string
-	out      io.Writer
-	flush    func() error
-	sequence uint64
-	length   uint64
+	attemptID string
+	out       io.Writer
+	flush     func() error
+	sequence  uint64
+	length    uint64
 }
 
-// NewWriter returns a writer for the attempt; flush pushes out what was written.
-func NewWriter(attempt string, out io.Writer, flush func() error) *Writer {
-	return &Writer{attempt: attempt, out: out, flush: flush}
+// NewWriter returns a Writer for the attempt with this id. It calls flush after every frame.
+func NewWriter(attemptID string, out io.Writer, flush func() error) *Writer {
+	return &Writer{attemptID: attemptID, out: out, flush: flush}
 }
 
-// Accept writes the head of the target's answer.
+// Accept writes the status and headers of the target's response.
 func (w *Writer) Accept(a *rpc.Accepted) error {
 	return w.write(&rpc.Frame{Part: &rpc.Frame_Accepted{Accepted: a}})
 }
 
-// Write writes answer bytes as chunks.
+// Write writes response body bytes as frames of at most MaxChunk bytes each.
 func (w *Writer) Write(p []byte) (int, error) {
 	written := 0
 	for len(p) > 0 {
@@ -56,19 +57,19 @@
 	return written, nil
 }
 
-// End marks the answer as whole; the length is filled in.
+// End marks the response as complete and sets e.Length to the body bytes written.
 func (w *Writer) End(e *rpc.End) error {
 	e.Length = w.length
 	return w.write(&rpc.Frame{Part: &rpc.Frame_End{End: e}})
 }
 
-// Fail ends the answer with a failure.
+// Fail ends the response with a failure.
 func (w *Writer) Fail(f *rpc.Failure) error {
 	return w.write(&rpc.Frame{Part: &rpc.Frame_Failure{Failure: f}})
 }
 
 func (w *Writer) write(f *rpc.Frame) error {
-	f.Attempt = w.attempt
+	f.Attempt = w.attemptID
 	f.Sequence = w.sequence
 	w.sequence++
 	if _, err := protodelim.MarshalTo(w.out, f); err != nil {
@@ -77,29 +78,30 @@
 	return w.flush()
 }
 
-// Reader reads the frames of one attempt's answer. It is used by one goroutine.
+// Reader reads the response frames of one attempt. It is not safe for concurrent use.
 type Reader struct {
-	attempt  string
-	in       *bufio.Reader
-	sequence uint64
-	length   uint64
-	accepted bool
-	done     bool
+	attemptID string
+	in        *bufio.Reader
+	sequence  uint64
+	length    uint64
+	accepted  bool
+	done      bool
 }
 
-// NewReader returns a reader that takes only the attempt's frames.
-func NewReader(attempt string, in io.Reader) *Reader {
-	return &Reader{attempt: attempt, in: bufio.NewReader(in)}
+// NewReader returns a Reader that accepts only frames of the given attempt id.
+func NewReader(attemptID string, in io.Reader) *Reader {
+	return &Reader{attemptID: attemptID, in: bufio.NewReader(in)}
 }
 
-// Accepted reports whether the target's answer has begun.
+// Accepted reports whether the target's response has begun.
 func (r *Reader) Accepted() bool {
 	return r.accepted
 }
 
-// Next returns the next frame. After End or Failure it returns io.EOF. The rest
-// is fault.StreamBroken: the body ended early, or a frame is of another attempt,
-// out of order, of the wrong length, or too large.
+// Next returns the next frame, and io.EOF after an End or Failure frame. Every
+// other error is fault.StreamBroken: the body ended early, or a frame is
+// malformed, too large, out of order or of another attempt, or the length in the
+// End frame differs from the bytes received.
 func (r *Reader) Next() (*rpc.Frame, error) {
 	if r.done {
 		return nil, io.EOF
@@ -108,7 +110,7 @@
 	err := protodelim.UnmarshalOptions{MaxSize: maxFrame}.UnmarshalFrom(r.in, f)
 	if err != nil {
 		r.done = true
-		return nil, broken(err)
+		return nil, readError(err)
 	}
 	if err := r.check(f); err != nil {
 		r.done = true
@@ -117,13 +119,13 @@
 	return f, nil
 }
 
-// check holds the fixed rules of a framed answer.
+// check verifies the attempt id, the sequence number and the order of the parts.
 func (r *Reader) check(f *rpc.Frame) error {
-	if f.Attempt != r.attempt {
-		return fault.New(fault.StreamBroken, "a reply to another attempt came")
+	if f.Attempt != r.attemptID {
+		return fault.New(fault.StreamBroken, "received a frame of another attempt")
 	}
 	if f.Sequence != r.sequence {
-		return fault.New(fault.StreamBroken, "frame %d came where %d was due", f.Sequence, r.sequence)
+		return fault.New(fault.StreamBroken, "received frame %d, expected %d", f.Sequence, r.sequence)
 	}
 	r.sequence++
 	switch part := f.Part.(type) {
@@ -137,12 +139,12 @@
 		r.done = true
 		return nil
 	}
-	return fault.New(fault.StreamBroken, "a frame without a part came")
+	return fault.New(fault.StreamBroken, "received a frame without a part")
 }
 
 func (r *Reader) checkAccepted() error {
 	if r.accepted {
-		return fault.New(fault.StreamBroken, "the answer began twice")
+		return fault.New(fault.StreamBroken, "received a second accepted frame")
 	}
 	r.accepted = true
 	return nil
@@ -150,7 +152,7 @@
 
 func (r *Reader) checkChunk(chunk []byte) error {
 	if !r.accepted {
-		return fault.New(fault.StreamBroken, "a chunk came before the answer's head")
+		return fault.New(fault.StreamBroken, "received a chunk before the accepted frame")
 	}
 	r.length += uint64(len(chunk))
 	return nil
@@ -158,23 +160,23 @@
 
 func (r *Reader) checkEnd(end *rpc.End) error {
 	if !r.accepted {
-		return fault.New(fault.StreamBroken, "the end came before the answer's head")
+		return fault.New(fault.StreamBroken, "received the end frame before the accepted frame")
 	}
 	if end.Length != r.length {
-		return fault.New(fault.StreamBroken, "the answer has %d bytes, %d came", end.Length, r.length)
+		return fault.New(fault.StreamBroken, "end frame declares %d bytes, received %d", end.Length, r.length)
 	}
 	r.done = true
 	return nil
 }
 
-func broken(err error) error {
+func readError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return fault.New(fault.StreamBroken, "the answer ended before its end mark")
+		return fault.New(fault.StreamBroken, "response ended before its end frame")
 	}
-	return fault.New(fault.StreamBroken, "the answer broke off: %v", err)
+	return fault.New(fault.StreamBroken, "reading a response frame: %v", err)
 }
 
-// FailureOf returns the frame for an error.
+// FailureOf converts an error to a failure frame.
 func FailureOf(err error) *rpc.Failure {
 	e := fault.From(err)
 	return &rpc.Failure{
@@ -186,18 +188,19 @@
 	}
 }
 
-// ErrorOf returns the error of a failure frame. A kind or a value that is not
-// in the closed lists is taken as fault.Internal, whose run is unknown.
+// ErrorOf converts a failure frame to an error. An unknown kind becomes
+// fault.Internal. An unknown kind or Ran value means that it is unknown whether
+// the request ran.
 func ErrorOf(f *rpc.Failure) error {
 	kind := fault.Kind(f.Kind)
 	if !fault.Known(kind) {
-		return fault.New(fault.Internal, "an agent answered with an unknown error kind")
+		return fault.New(fault.Internal, "agent returned an unknown error kind")
 	}
 	err := fault.After(kind, time.Duration(f.RetryAfterMs)*time.Millisecond, "%s", f.Message)
-	return fault.WithRan(err, ranOf(f.Ran), f.Repeatable)
+	return fault.WithRan(err, parseRan(f.Ran), f.Repeatable)
 }
 
-func ranOf(s string) fault.Ran {
+func parseRan(s string) fault.Ran {
 	switch ran := fault.Ran(s); ran {
 	case fault.RanNo, fault.RanYes:
 		return ran
--- a/server/wire/request.go
+++ b/server/wire/request.go
@@ -10,20 +10,21 @@
 	"cowsliptiller/coord/fault"
 )
 
-// RunPath is where an agent takes requests; ProbePath answers at once and
-// proves that the connection is alive.
+// HTTP paths of an agent. RunPath accepts requests; ProbePath responds at once
+// and serves as a liveness check of the connection.
 const (
 	RunPath   = "/agent/v1/run"
 	ProbePath = "/agent/v1/probe"
 )
 
-// PrefixBytes is how much of a body names its prefix, for the entry host's choice of
-// a target and for the agent's order alike: some 250 tokens, enough to tell one
-// instruction text from another and less than the shared texts that make a cache
-// worth while. A shorter body has none, as little is saved there.
+// PrefixBytes is the number of body bytes that identify a prompt prefix, both for the
+// entry host's choice of a target and for the order in the agent's queue. It is some
+// 250 tokens: enough to distinguish instruction texts, and less than the shared
+// texts for which a prefix cache pays. A shorter body has no prefix, because caching
+// it saves little.
 const PrefixBytes = 1 << 10
 
-// Names of the headers that carry a Request. None of them holds a caller's key.
+// Names of the headers that carry a Request. None of them contains a caller's API key.
 const (
 	headerAttempt     = "Cowslip-Attempt"
 	headerRequest     = "Cowslip-Request"
@@ -44,29 +45,29 @@
 	headerAlone       = "Cowslip-Alone"
 )
 
-// Request is the head of one attempt; the caller's body follows as it came.
+// Request is the metadata of one attempt. The caller's body follows unchanged.
 type Request struct {
-	Attempt     string        // unique for each hand-over
-	ID          string        // the caller's request, in every log line
-	Workspace   string        // whose key came with the request
-	KeyID       string        // public name of that key, checked again at hand-over
-	Class       string        // class of call
-	Priority    int           // 0 is the highest
-	Repeatable  bool          // whether the call may run twice
-	Model       string        // engines: the base model
-	Adapter     string        // engines: the adapter on it, if any
-	Service     string        // plain services: name
-	Path        string        // path at the target, with a leading slash
-	Call        string        // names a call for the target; empty for engines
-	Fingerprint []byte        // digest of workspace, name and body
-	ContentType string        // of the body
-	Left        time.Duration // until the caller's deadline
-	Tokens      int64         // prompt and the most it may generate
-	Weight      int64         // the workspace's rate, for its share of the target
-	Alone       bool          // run while nothing else runs: a neighbour of a crash
+	Attempt     string        // unique id of this hand-over to an agent
+	ID          string        // id of the caller's request, the same for all attempts; used in logs
+	Workspace   string        // workspace of the caller's key
+	KeyID       string        // public id of that key, checked again at hand-over
+	Class       string        // request class
+	Priority    int           // 0 is the highest priority
+	Repeatable  bool          // whether the call may run more than once
+	Model       string        // engines: base model
+	Adapter     string        // engines: adapter of the base model, if any
+	Service     string        // other services: service name
+	Path        string        // request path at the target, with a leading slash
+	Call        string        // id of the call that is passed to the target; empty for engines
+	Fingerprint []byte        // digest of workspace, model or service name, and body
+	ContentType string        // media type of the body
+	Left        time.Duration // time until the caller's deadline
+	Tokens      int64         // prompt tokens plus the maximum of generated tokens
+	Weight      int64         // rate of the workspace, which weights its share of the target
+	Alone       bool          // must run alone, because the target crashed while this request ran
 }
 
-// WriteHeader sets the headers for r.
+// WriteHeader sets the headers that encode r.
 func (r *Request) WriteHeader(h http.Header) {
 	set := func(name, value string) {
 		if value != "" {
@@ -95,8 +96,8 @@
 	}
 }
 
-// ReadHeader reads a Request strictly: a missing or malformed header is
-// fault.InvalidRequest, and nothing has run.
+// ReadHeader decodes a Request. A missing or malformed header is
+// fault.InvalidRequest; nothing has run then.
 func ReadHeader(h http.Header) (*Request, error) {
 	d := decoder{header: h}
 	r := &Request{
@@ -106,7 +107,7 @@
 		KeyID:       d.required(headerKeyID),
 		Class:       d.required(headerClass),
 		Priority:    int(d.number(headerPriority)),
-		Repeatable:  d.flag(headerRepeatable),
+		Repeatable:  d.boolean(headerRepeatable),
 		Model:       d.text(headerModel),
 		Adapter:     d.text(headerAdapter),
 		Service:     d.text(headerService),
@@ -117,10 +118,10 @@
 		Left:        time.Duration(d.number(headerLeft)) * time.Millisecond,
 		Tokens:      d.number(headerTokens),
 		Weight:      d.number(headerWeight),
-		Alone:       d.flag(headerAlone),
+		Alone:       d.boolean(headerAlone),
 	}
 	if d.err == nil && (r.Model == "") == (r.Service == "") {
-		d.err = fault.New(fault.InvalidRequest, "exactly one of %s and %s is needed", headerModel, headerService)
+		d.err = fault.New(fault.InvalidRequest, "exactly one of the headers %s and %s must be set", headerModel, headerService)
 	}
 	if d.err != nil {
 		return nil, d.err
@@ -128,7 +129,7 @@
 	return r, nil
 }
 
-// decoder reads headers and keeps the first error.
+// decoder decodes header values and keeps the first error.
 type decoder struct {
 	header http.Header
 	err    error
@@ -137,7 +138,7 @@
 func (d *decoder) text(name string) string {
 	value, err := url.QueryUnescape(d.header.Get(name))
 	if err != nil {
-		d.fail(name, "is not escaped text")
+		d.fail(name, "is not valid query-escaped text")
 	}
 	return value
 }
@@ -153,15 +154,15 @@
 func (d *decoder) number(name string) int64 {
 	value, err := strconv.ParseInt(d.header.Get(name), 10, 64)
 	if err != nil {
-		d.fail(name, "is not a number")
+		d.fail(name, "is not a 64-bit decimal integer")
 	}
 	return value
 }
 
-func (d *decoder) flag(name string) bool {
+func (d *decoder) boolean(name string) bool {
 	value, err := strconv.ParseBool(d.header.Get(name))
 	if err != nil {
-		d.fail(name, "is neither true nor false")
+		d.fail(name, "is not a boolean")
 	}
 	return value
 }
@@ -174,8 +175,8 @@
 	return value
 }
 
-func (d *decoder) fail(name, complaint string) {
+func (d *decoder) fail(name, problem string) {
 	if d.err == nil {
-		d.err = fault.New(fault.InvalidRequest, "header %s %s", name, complaint)
+		d.err = fault.New(fault.InvalidRequest, "header %s %s", name, problem)
 	}
 }
--- a/server/wire/wire_test.go
+++ b/server/wire/wire_test.go
@@ -24,7 +24,7 @@
 	RunSpecs(t, "wire")
 }
 
-// frames writes one answer and returns each frame's bytes.
+// frames encodes one response and returns the bytes of each frame.
 func frames(t *rapid.T, attempt string, answer []byte) [][]byte {
 	var out [][]byte
 	var buffer bytes.Buffer
@@ -50,7 +50,7 @@
 	}
 }
 
-// read returns the answer, and whether it came as whole.
+// read returns the response body and whether the response was complete.
 func read(attempt string, parts [][]byte) ([]byte, bool) {
 	r := wire.NewReader(attempt, bytes.NewReader(bytes.Join(parts, nil)))
 	var answer []byte
@@ -66,18 +66,19 @@
 	}
 }
 
-// A caller gets half an answer, another's answer, or parts of two, and takes it
-// for its own: replies came late, crossed or cut, and nothing told them apart.
+// Guards against delivering a truncated response, or one that contains frames of
+// another attempt, as complete. This happens when frames are lost, duplicated,
+// reordered, misrouted or cut and the reader does not detect it.
 func TestNothingButTheWholeAnswerIsWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		answer := rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "answer")
 		parts := frames(t, "mine", answer)
-		if got, whole := read("mine", parts); !whole || !bytes.Equal(got, answer) {
-			t.Fatalf("an undamaged answer was not whole")
+		if got, complete := read("mine", parts); !complete || !bytes.Equal(got, answer) {
+			t.Fatalf("an undamaged response was not read as complete")
 		}
 		damaged := damage(t, parts, answer)
-		if got, whole := read("mine", damaged); whole && !bytes.Equal(got, answer) {
-			t.Fatalf("a damaged answer was taken for whole")
+		if got, complete := read("mine", damaged); complete && !bytes.Equal(got, answer) {
+			t.Fatalf("a damaged response was read as complete")
 		}
 	})
 }
@@ -88,25 +89,26 @@
 	switch rapid.IntRange(0, 4).Draw(t, "damage") {
 	case 0: // a frame is lost
 		return slices.Delete(damaged, at, at+1)
-	case 1: // a frame comes twice
+	case 1: // a frame is duplicated
 		return slices.Insert(damaged, at, damaged[at])
-	case 2: // two frames change places
+	case 2: // two frames are swapped
 		other := rapid.IntRange(0, len(parts)-1).Draw(t, "other")
 		damaged[at], damaged[other] = damaged[other], damaged[at]
 		return damaged
-	case 3: // a frame of another attempt comes between
+	case 3: // a frame is replaced by one of another attempt
 		other := slices.Clone(answer)
 		slices.Reverse(other)
 		damaged[at] = frames(t, "other", other)[0]
 		return damaged
-	default: // the body is cut
+	default: // the body is truncated
 		cut := rapid.IntRange(0, len(damaged[at])-1).Draw(t, "cut")
 		damaged[at] = damaged[at][:cut]
 		return damaged[:at+1]
 	}
 }
 
-// FuzzReader feeds bytes that no agent wrote: an error, no panic, no growth.
+// FuzzReader feeds arbitrary bytes to a Reader, which must return only the documented
+// errors, without a panic or unbounded allocation.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x7f})
@@ -126,7 +128,8 @@
 	})
 }
 
-// FuzzReadHeader feeds heads that no entry host wrote.
+// FuzzReadHeader sets arbitrary header values, which must be accepted or rejected as
+// fault.InvalidRequest.
 func FuzzReadHeader(f *testing.F) {
 	f.Add("Cowslip-Attempt", "%zz")
 	f.Add("Cowslip-Left-Ms", "9223372036854775808")
@@ -148,8 +151,8 @@
 	}
 }
 
-var _ = Describe("the head of a request", func() {
-	It("arrives as it was sent", func() {
+var _ = Describe("the request headers", func() {
+	It("decode to the request that was encoded", func() {
 		h := http.Header{}
 		sample().WriteHeader(h)
 		got, err := wire.ReadHeader(h)
@@ -157,7 +160,7 @@
 		Expect(got).To(Equal(sample()))
 	})
 
-	It("is refused with a part missing", func() {
+	It("are rejected when a required one is missing", func() {
 		for _, name := range []string{"Cowslip-Attempt", "Cowslip-Key-Id", "Cowslip-Model", "Cowslip-Left-Ms", "Cowslip-Alone"} {
 			h := http.Header{}
 			sample().WriteHeader(h)
@@ -168,8 +171,8 @@
 	})
 })
 
-var _ = Describe("a failure", func() {
-	It("keeps what is known of the run, and claims nothing for a kind that is not in the list", func() {
+var _ = Describe("a failure frame", func() {
+	It("preserves whether the request ran, and reports an unknown kind as not known to have run", func() {
 		sent := fault.WithRan(fault.After(fault.Overloaded, 2*time.Second, "full"), fault.RanNo, true)
 		got := fault.From(wire.ErrorOf(wire.FailureOf(sent)))
 		Expect(got.Kind).To(Equal(fault.Overloaded))
