--- a/server/upstream/conn.go
+++ b/server/upstream/conn.go
@@ -12,38 +12,39 @@
 	"cowsliptiller/server/dial"
 )
 
-// readBuffer holds an answer's header and several events of a stream.
-const readBuffer = 4 << 10
+// readBufferSize, in bytes, fits a response header and several events of a stream.
+const readBufferSize = 4 << 10
 
-// silentTimeout is how long sent bytes may stay unacknowledged: behind a partition
-// a connection gives no error by itself, and a write waits for minutes.
-const silentTimeout = 3 * time.Second
+// userTimeout is the TCP_USER_TIMEOUT of connections: how long sent bytes may stay
+// unacknowledged. Without it a connection across a network partition reports no
+// error, and a write blocks for minutes.
+const userTimeout = 3 * time.Second
 
-// conn is one connection to a target.
+// conn is a connection to a target.
 type conn struct {
 	net.Conn
-	reader    *bufio.Reader
-	idleSince time.Time
-	idleLimit time.Duration // told by the target; 0: not told
+	reader          *bufio.Reader
+	idleSince       time.Time
+	targetIdleLimit time.Duration // announced by the target; 0: none announced
 }
 
 var (
-	dialer      = net.Dialer{KeepAlive: -1, Control: setSilentTimeout}
-	dialTargets = dial.Again(dialer.DialContext, DialTimeout)
+	dialer     = net.Dialer{KeepAlive: -1, Control: setUserTimeout}
+	dialTarget = dial.Again(dialer.DialContext, DialTimeout)
 )
 
-func open(ctx context.Context, address string) (*conn, error) {
-	c, err := dialTargets(ctx, "tcp4", address)
+func openConn(ctx context.Context, address string) (*conn, error) {
+	c, err := dialTarget(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferSize)}, nil
 }
 
-func setSilentTimeout(_, _ string, raw syscall.RawConn) error {
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentTimeout.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -51,10 +52,10 @@
 	return failed
 }
 
-// quiet reports whether nothing has come on an idle connection. A target that
-// closed or reset it, or sent bytes that belong to no request, makes it unusable:
-// whatever is sent next is lost, or is answered by those bytes.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is still open and has no unread bytes.
+// If the target closed or reset it, the next request would be lost. If the target
+// sent bytes outside a response, they would be read as the next response.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -66,12 +67,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		idle = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/server/upstream/doc.go
+++ b/server/upstream/doc.go
@@ -1,7 +1,7 @@
-// Package upstream calls targets over HTTP/1.1 with connections of its own.
+// Package upstream is an HTTP/1.1 client for targets with its own connection pool.
 //
-// net/http's client is not used on this way: it sends a request again by itself
-// when a kept connection turns out dead, which would run a call twice, and it hides
-// whether a request had begun to leave. Here a request is written once, and an
-// error says whether any of it was sent.
+// It replaces the client of net/http, which retries a request on its own when a
+// pooled connection turns out to be closed, so that a call could run twice, and
+// which does not report whether any part of a request was written. This package
+// writes a request at most once, and its errors report whether any of it was sent.
 package upstream
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -11,24 +11,23 @@
 	"time"
 )
 
-// Request is one call to a target, byte for byte as the caller sent it but for its
-// headers.
+// Request is one call to a target. All but the headers is sent as the caller sent it.
 type Request struct {
 	Address string // IP:port
 	Method  string
-	Target  string // path and query as they came
+	Target  string // request URI: path and query, unchanged
 	Host    string
 	Header  http.Header
 	Body    []byte
-	// Careful calls may not be repeated: they go only over connections that were
-	// in use a moment ago, or new ones.
+	// Careful marks a call that must not be repeated. It is sent only over a new
+	// connection or one that was idle for at most nonRepeatableMaxIdle.
 	Careful bool
-	// IdleLimit reads from an answer's headers how long the target keeps the
-	// connection; nil: it does not tell.
+	// IdleLimit returns how long the target keeps an idle connection, as announced in
+	// the response headers; 0: not announced. A nil function means not announced.
 	IdleLimit func(http.Header) time.Duration
 }
 
-// Error tells what became of a request that got no answer.
+// Error is the error of a request that got no response.
 type Error struct {
 	Sent bool // some of it may have reached the target
 	Err  error
@@ -45,54 +44,55 @@
 	return !errors.As(err, &e) || e.Sent
 }
 
-// Answer is a target's answer. Close must be called once; closing it before its
-// body has ended breaks the connection, which is how the target learns that
-// nobody waits any more.
+// Answer is a target's response. Close must be called once. Closing it before the end
+// of its body closes the connection, which cancels the request at the target.
 type Answer struct {
 	Status int
 	Header http.Header
-	Length int64 // -1: not told
+	Length int64 // Content-Length in bytes; -1: unknown
 	Body   io.Reader
 
-	exchange *exchange
-	whole    bool
-	closes   bool // the target closes the connection after the answer
+	exchange   *exchange
+	complete   bool
+	closeAfter bool // the target closes the connection after the response
 }
 
-// exchange is a request on its connection.
+// exchange is a request in progress on its connection.
 type exchange struct {
-	pool    *Pool
-	request *Request
-	conn    *conn
-	written chan error // of the body that is sent beside the answer
-	once    sync.Once
-	stop    func() bool
+	pool        *Pool
+	request     *Request
+	conn        *conn
+	bodyWritten chan error // result of writing a body concurrently with reading the response; nil: written inline
+	once        sync.Once
+	stop        func() bool
 }
 
-// inlineBody is written before the answer is read: it fits into the socket's
-// buffers, so that a target that answers early does not block the write.
-const inlineBody = 32 << 10
+// maxInlineBody is the size in bytes up to which a body is written before the response
+// is read. It fits into the socket buffers, so that a target that responds before it
+// has read the body does not block the write.
+const maxInlineBody = 32 << 10
 
-// Do sends a request and returns once the answer's header has come. When the
-// context ends the connection is closed, also while the body is read.
+// Do sends a request and returns when the response header has been read. The end of
+// the context closes the connection, also while the body is read. The error is an
+// *Error.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
-	c, _, err := p.take(ctx, r.Address, r.Careful)
+	c, _, err := p.acquire(ctx, r.Address, r.Careful)
 	if err != nil {
 		return nil, &Error{Err: err}
 	}
 	x := &exchange{pool: p, request: r, conn: c}
 	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if err := x.send(); err != nil {
-		x.drop()
+		x.closeConn()
 		return nil, &Error{Sent: true, Err: contextError(ctx, err)}
 	}
 	resp, err := x.receive()
 	if err != nil {
-		x.drop()
+		x.closeConn()
 		return nil, &Error{Sent: true, Err: contextError(ctx, err)}
 	}
-	a := &Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, exchange: x, closes: resp.Close}
-	a.Body = &watchedBody{answer: a, reader: resp.Body}
+	a := &Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, exchange: x, closeAfter: resp.Close}
+	a.Body = &eofReader{answer: a, reader: resp.Body}
 	return a, nil
 }
 
@@ -113,7 +113,7 @@
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		b.Write(r.Body)
 		_, err := x.conn.Write(b.Bytes())
 		return err
@@ -121,15 +121,15 @@
 	if _, err := x.conn.Write(b.Bytes()); err != nil {
 		return err
 	}
-	x.written = make(chan error, 1)
+	x.bodyWritten = make(chan error, 1)
 	go func() {
 		_, err := x.conn.Write(r.Body)
-		x.written <- err
+		x.bodyWritten <- err
 	}()
 	return nil
 }
 
-// receive reads the header of the final answer.
+// receive reads the header of the final response and skips 1xx responses.
 func (x *exchange) receive() (*http.Response, error) {
 	method := &http.Request{Method: x.request.Method}
 	for {
@@ -143,64 +143,65 @@
 	}
 }
 
-// drop ends the exchange with its connection.
-func (x *exchange) drop() {
+// closeConn ends the exchange and closes its connection.
+func (x *exchange) closeConn() {
 	x.once.Do(func() {
 		x.stop()
 		_ = x.conn.Close()
 	})
 }
 
-// keep gives the connection back after a whole answer. It is dropped where the
-// target still waits for the rest of the request's body: the next request's bytes
-// would be taken for it.
-func (x *exchange) keep(h http.Header) {
+// release returns the connection to the pool after a complete response. It closes the
+// connection if the request body has not been written completely, because the target
+// would read the next request as the rest of that body.
+func (x *exchange) release(h http.Header) {
 	x.once.Do(func() {
-		if !x.stop() || !x.sentWhole() || !x.conn.quiet() {
+		if !x.stop() || !x.bodySent() || !x.conn.reusable() {
 			_ = x.conn.Close()
 			return
 		}
 		if x.request.IdleLimit != nil {
-			x.conn.idleLimit = x.request.IdleLimit(h)
+			x.conn.targetIdleLimit = x.request.IdleLimit(h)
 		}
 		x.pool.put(x.request.Address, x.conn)
 	})
 }
 
-func (x *exchange) sentWhole() bool {
-	if x.written == nil {
+func (x *exchange) bodySent() bool {
+	if x.bodyWritten == nil {
 		return true
 	}
 	select {
-	case err := <-x.written:
+	case err := <-x.bodyWritten:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// watchedBody notes when the body has ended as it should.
-type watchedBody struct {
+// eofReader marks the response as complete when its body ends with io.EOF.
+type eofReader struct {
 	answer *Answer
 	reader io.Reader
 }
 
-func (b *watchedBody) Read(p []byte) (int, error) {
+func (b *eofReader) Read(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
 	if err == io.EOF {
-		b.answer.whole = true
+		b.answer.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept if the answer was read to its end.
+// Close ends the exchange. The connection is reused if the response was read to its end.
 func (a *Answer) Close() {
-	if (a.whole || a.Length == 0) && !a.closes {
-		a.exchange.keep(a.Header)
+	if (a.complete || a.Length == 0) && !a.closeAfter {
+		a.exchange.release(a.Header)
 		return
 	}
-	a.exchange.drop()
+	a.exchange.closeConn()
 }
 
-// Abort ends the exchange and its connection: what came on it cannot be trusted.
-func (a *Answer) Abort() { a.exchange.drop() }
+// Abort ends the exchange and closes its connection, for a response that cannot be
+// trusted.
+func (a *Answer) Abort() { a.exchange.closeConn() }
--- a/server/upstream/pool.go
+++ b/server/upstream/pool.go
@@ -6,23 +6,27 @@
 	"time"
 )
 
-// Bounds on kept connections.
+// Limits of dialing and of idle connections.
 const (
-	// DialTimeout: a target in the same region answers in a few milliseconds; a packet
-	// that is lost at the opening is sent again after dial.FirstAnswer, four times.
+	// DialTimeout bounds opening a connection. A target in the same region accepts
+	// within a few milliseconds. If the SYN packet is lost, dialing is retried every
+	// dial.FirstAnswer, four times.
 	DialTimeout = 1200 * time.Millisecond
-	// maxIdle bounds kept connections to one target.
-	maxIdle = 64
-	// idleLimit is how long a connection is kept where the target tells no limit.
-	idleLimit = 4 * time.Second
-	// idleShare of the limit that the target told: its clock started earlier.
-	idleShare = 0.7
-	// freshIdle bounds the idle time before a call that may not be repeated: a
-	// target may drop an idle connection unseen, and such a call is then lost.
-	freshIdle = 300 * time.Millisecond
+	// maxIdlePerTarget is the maximum number of idle connections to one target.
+	maxIdlePerTarget = 64
+	// maxIdleAge bounds how long an idle connection is kept; a target can only shorten it.
+	maxIdleAge = 4 * time.Second
+	// idleLimitFraction is applied to the idle limit that the target announces, because
+	// the target started counting earlier.
+	idleLimitFraction = 0.7
+	// nonRepeatableMaxIdle bounds how long a connection may have been idle before a call
+	// that must not be repeated. A target can close an idle connection without this
+	// process noticing, and such a call would be lost.
+	nonRepeatableMaxIdle = 300 * time.Millisecond
 )
 
-// Pool keeps connections to targets. Its lock is a leaf.
+// Pool keeps idle connections to targets for reuse. It is safe for concurrent use. No
+// other lock is acquired while its lock is held.
 type Pool struct {
 	now func() time.Time
 
@@ -30,26 +34,26 @@
 	idle map[string][]*conn // by address, newest last
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool. now returns the current time.
 func NewPool(now func() time.Time) *Pool {
 	return &Pool{now: now, idle: map[string][]*conn{}}
 }
 
-// take returns a kept connection that may still be used, or a new one. kept says
-// which.
-func (p *Pool) take(ctx context.Context, address string, careful bool) (c *conn, kept bool, err error) {
-	for c := p.pop(address, careful); c != nil; c = p.pop(address, careful) {
-		if c.quiet() {
+// acquire returns a usable idle connection, or a new one. reused reports which.
+func (p *Pool) acquire(ctx context.Context, address string, nonRepeatable bool) (c *conn, reused bool, err error) {
+	for c := p.popIdle(address, nonRepeatable); c != nil; c = p.popIdle(address, nonRepeatable) {
+		if c.reusable() {
 			return c, true, nil
 		}
 		_ = c.Close()
 	}
-	c, err = open(ctx, address)
+	c, err = openConn(ctx, address)
 	return c, false, err
 }
 
-// pop returns the newest kept connection that is young enough, nil if there is none.
-func (p *Pool) pop(address string, careful bool) *conn {
+// popIdle returns the connection that became idle last, or nil if there is none within
+// its idle limit.
+func (p *Pool) popIdle(address string, nonRepeatable bool) *conn {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,41 +63,41 @@
 	}
 	c := list[len(list)-1]
 	idle := now.Sub(c.idleSince)
-	if idle > keepFor(c) {
-		// All older ones are over their limit too.
+	if idle > idleLimitOf(c) {
+		// The others have been idle for longer and are past their limit too.
 		p.idle[address] = nil
 		for _, old := range list {
 			_ = old.Close()
 		}
 		return nil
 	}
-	if careful && idle > freshIdle {
+	if nonRepeatable && idle > nonRepeatableMaxIdle {
 		return nil
 	}
 	p.idle[address] = list[:len(list)-1]
 	return c
 }
 
-func keepFor(c *conn) time.Duration {
-	if c.idleLimit > 0 {
-		return min(idleLimit, time.Duration(idleShare*float64(c.idleLimit)))
+func idleLimitOf(c *conn) time.Duration {
+	if c.targetIdleLimit > 0 {
+		return min(maxIdleAge, time.Duration(idleLimitFraction*float64(c.targetIdleLimit)))
 	}
-	return idleLimit
+	return maxIdleAge
 }
 
 func (p *Pool) put(address string, c *conn) {
 	c.idleSince = p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[address]) >= maxIdle {
+	if len(p.idle[address]) >= maxIdlePerTarget {
 		_ = c.Close()
 		return
 	}
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// Forget closes the kept connections to an address.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -103,7 +107,7 @@
 	}
 }
 
-// Sweep closes kept connections that are over their limit.
+// Sweep closes the idle connections that are past their limit.
 func (p *Pool) Sweep() {
 	now := p.now()
 	p.mu.Lock()
@@ -111,7 +115,7 @@
 	for address, list := range p.idle {
 		var rest []*conn
 		for _, c := range list {
-			if now.Sub(c.idleSince) > keepFor(c) {
+			if now.Sub(c.idleSince) > idleLimitOf(c) {
 				_ = c.Close()
 				continue
 			}
--- a/server/upstream/upstream_test.go
+++ b/server/upstream/upstream_test.go
@@ -21,19 +21,19 @@
 	RunSpecs(t, "upstream")
 }
 
-// peer is a target that answers on raw connections as the test says.
-type peer struct {
+// rawServer is a target on raw TCP connections. It counts requests and connections.
+type rawServer struct {
 	net.Listener
 	mu       sync.Mutex
 	requests int
 	conns    int
 }
 
-// newPeer calls talk for each connection, with its number from 1.
-func newPeer(talk func(p *peer, c net.Conn, r *bufio.Reader, n int)) *peer {
+// newRawServer starts a server that calls handle for each connection, numbered from 1.
+func newRawServer(handle func(p *rawServer, c net.Conn, r *bufio.Reader, n int)) *rawServer {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	p := &peer{Listener: l}
+	p := &rawServer{Listener: l}
 	DeferCleanup(l.Close)
 	go func() {
 		for {
@@ -45,14 +45,14 @@
 			p.conns++
 			n := p.conns
 			p.mu.Unlock()
-			go talk(p, c, bufio.NewReader(c), n)
+			go handle(p, c, bufio.NewReader(c), n)
 		}
 	}()
 	return p
 }
 
-// next reads one request.
-func (p *peer) next(r *bufio.Reader) bool {
+// readRequest reads and counts one request. It returns false when the connection ended.
+func (p *rawServer) readRequest(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return false
@@ -64,13 +64,13 @@
 	return true
 }
 
-func (p *peer) counts() (requests, conns int) {
+func (p *rawServer) counts() (requests, conns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.requests, p.conns
 }
 
-func get(pool *upstream.Pool, p *peer) (string, error) {
+func get(pool *upstream.Pool, p *rawServer) (string, error) {
 	a, err := pool.Do(context.Background(), &upstream.Request{Address: p.Addr().String(), Method: "GET", Target: "/x", Host: "h", Header: http.Header{}})
 	if err != nil {
 		return "", err
@@ -80,13 +80,13 @@
 	return string(body), err
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 var _ = Describe("a call to a target", func() {
-	It("keeps the connection after a whole answer", func() {
-		p := newPeer(func(p *peer, c net.Conn, r *bufio.Reader, _ int) {
-			for p.next(r) {
-				_, _ = io.WriteString(c, whole)
+	It("reuses the connection after a complete response", func() {
+		p := newRawServer(func(p *rawServer, c net.Conn, r *bufio.Reader, _ int) {
+			for p.readRequest(r) {
+				_, _ = io.WriteString(c, okResponse)
 			}
 		})
 		pool := upstream.NewPool(time.Now)
@@ -97,14 +97,15 @@
 		Expect([]int{requests, conns}).To(Equal([]int{5, 1}))
 	})
 
-	// A target reads a call on a kept connection and drops it without an answer. A
-	// client that sends it again by itself books twice.
-	It("is written once, and says that it may have arrived", func() {
-		p := newPeer(func(p *peer, c net.Conn, r *bufio.Reader, n int) {
-			if p.next(r) && n == 1 {
-				_, _ = io.WriteString(c, whole)
+	// Guards against a retry inside the client: a target reads a call on a reused
+	// connection and closes it without a response. A second write could run the call
+	// twice.
+	It("is written once, and the error reports that it may have been sent", func() {
+		p := newRawServer(func(p *rawServer, c net.Conn, r *bufio.Reader, n int) {
+			if p.readRequest(r) && n == 1 {
+				_, _ = io.WriteString(c, okResponse)
 			}
-			p.next(r)
+			p.readRequest(r)
 			_ = c.Close()
 		})
 		pool := upstream.NewPool(time.Now)
@@ -115,21 +116,21 @@
 		Consistently(func() int { n, _ := p.counts(); return n }, 100*time.Millisecond).Should(BeNumerically("<=", 2))
 	})
 
-	It("says that nothing was sent where no connection came about", func() {
+	It("reports that nothing was sent when dialing failed", func() {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.Close()).To(Succeed())
-		_, err = get(upstream.NewPool(time.Now), &peer{Listener: l})
+		_, err = get(upstream.NewPool(time.Now), &rawServer{Listener: l})
 		Expect(err).To(HaveOccurred())
 		Expect(upstream.Sent(err)).To(BeFalse())
 	})
 
-	// A target sends bytes after a whole answer. On the next call they would be read
-	// as its answer.
-	It("does not keep a connection on which more has come than the answer", func() {
-		p := newPeer(func(p *peer, c net.Conn, r *bufio.Reader, _ int) {
-			for p.next(r) {
-				_, _ = io.WriteString(c, whole+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
+	// A target sends bytes after a complete response. The next call on that connection
+	// would read them as its response.
+	It("does not reuse a connection with unread bytes after the response", func() {
+		p := newRawServer(func(p *rawServer, c net.Conn, r *bufio.Reader, _ int) {
+			for p.readRequest(r) {
+				_, _ = io.WriteString(c, okResponse+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
 			}
 		})
 		pool := upstream.NewPool(time.Now)
@@ -140,15 +141,15 @@
 		Expect(conns).To(Equal(3))
 	})
 
-	It("tells an answer that was cut from one that ended", func() {
-		cut := newPeer(func(_ *peer, c net.Conn, r *bufio.Reader, _ int) {
+	It("distinguishes a truncated response from a complete one", func() {
+		cut := newRawServer(func(_ *rawServer, c net.Conn, r *bufio.Reader, _ int) {
 			_, _ = http.ReadRequest(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
 			_ = c.Close()
 		})
 		_, err := get(upstream.NewPool(time.Now), cut)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-		reset := newPeer(func(_ *peer, c net.Conn, r *bufio.Reader, _ int) {
+		reset := newRawServer(func(_ *rawServer, c net.Conn, r *bufio.Reader, _ int) {
 			_, _ = http.ReadRequest(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nok")
 			_ = c.(*net.TCPConn).SetLinger(0)
@@ -156,7 +157,7 @@
 		})
 		_, err = get(upstream.NewPool(time.Now), reset)
 		Expect(err).To(HaveOccurred())
-		ended := newPeer(func(_ *peer, c net.Conn, r *bufio.Reader, _ int) {
+		ended := newRawServer(func(_ *rawServer, c net.Conn, r *bufio.Reader, _ int) {
 			_, _ = http.ReadRequest(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nok")
 			_ = c.Close()
@@ -164,9 +165,9 @@
 		Expect(get(upstream.NewPool(time.Now), ended)).To(Equal("ok"))
 	})
 
-	It("breaks the connection when its context ends, also midway in an answer", func() {
+	It("closes the connection when its context ends, also while the body is read", func() {
 		closed := make(chan struct{})
-		p := newPeer(func(_ *peer, c net.Conn, r *bufio.Reader, _ int) {
+		p := newRawServer(func(_ *rawServer, c net.Conn, r *bufio.Reader, _ int) {
 			_, _ = http.ReadRequest(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
 			_, _ = r.ReadByte()
@@ -182,10 +183,10 @@
 		Eventually(closed).Should(BeClosed())
 	})
 
-	It("passes over what announces an answer, and sends a long body beside an early answer", func() {
-		p := newPeer(func(_ *peer, c net.Conn, r *bufio.Reader, _ int) {
+	It("skips 1xx responses, and sends a long body while an early response is read", func() {
+		p := newRawServer(func(_ *rawServer, c net.Conn, r *bufio.Reader, _ int) {
 			_, _ = r.ReadString('\n')
-			_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"+whole)
+			_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"+okResponse)
 			_, _ = io.Copy(io.Discard, r)
 		})
 		body := make([]byte, 4<<20)
@@ -198,10 +199,10 @@
 		a.Close()
 	})
 
-	It("uses only a connection of a moment ago for a call that may not be repeated", func() {
-		p := newPeer(func(p *peer, c net.Conn, r *bufio.Reader, _ int) {
-			for p.next(r) {
-				_, _ = io.WriteString(c, whole)
+	It("does not reuse a connection that was idle too long for a call that must not be repeated", func() {
+		p := newRawServer(func(p *rawServer, c net.Conn, r *bufio.Reader, _ int) {
+			for p.readRequest(r) {
+				_, _ = io.WriteString(c, okResponse)
 			}
 		})
 		var mu sync.Mutex
