--- a/server/events/belief.go
+++ b/server/events/belief.go
@@ -2,68 +2,73 @@
 
 import "time"
 
-// OrderGiven says what a target was ordered and what it said.
+// OrderGiven logs a load or unload order to a target, its outcome, and how many orders
+// wait.
 func (l *Log) OrderGiven(target string, load bool, model, adapter string, sequence uint64, outcome string, waiting int) {
-	l.say("order_given", "target", target, "load", load, "model", model, "adapter", adapter, "sequence", sequence,
+	l.emit("order_given", "target", target, "load", load, "model", model, "adapter", adapter, "sequence", sequence,
 		"outcome", outcome, "waiting", waiting)
 }
 
-// DeploymentFollowed says that this process follows a newer deployment.
+// DeploymentFollowed logs that this process switched to a newer deployment.
 func (l *Log) DeploymentFollowed(version, revision uint64) {
-	l.say("deployment_followed", "version", version, "revision", revision)
+	l.emit("deployment_followed", "version", version, "revision", revision)
 }
 
-// TargetSeen says that a target's standing changed in a way that routing follows.
+// TargetSeen logs a change of a target that affects routing. age is the age of the
+// target list that reported it.
 func (l *Log) TargetSeen(instance, service, address string, draining, gone bool, age time.Duration) {
-	l.say("target_changed", "target", instance, "service", service, "address", address, "draining", draining,
+	l.emit("target_changed", "target", instance, "service", service, "address", address, "draining", draining,
 		"gone", gone, "list_age_ms", age.Milliseconds())
 }
 
-// DependencyLost says that something this process needs does not answer.
+// DependencyLost logs that a dependency of this process does not respond.
 func (l *Log) DependencyLost(name string, err error) {
 	l.logger.Warn("dependency_lost", "dependency", name, "error", err)
 }
 
-// DependencyRegained says that it answers again.
+// DependencyRegained logs that a dependency responds again, and after how long.
 func (l *Log) DependencyRegained(name string, after time.Duration) {
 	l.logger.Info("dependency_regained", "dependency", name, "after_ms", after.Milliseconds())
 }
 
-// Started is the first line of a process.
+// Started logs the start of a process. It is the first line of the process.
 func (l *Log) Started(host, failureDomain string, firstStart bool, roles, seeds []string) {
 	l.logger.Info("started", "host", host, "failure_domain", failureDomain, "first_start", firstStart, "roles", roles, "seeds", seeds)
 }
 
-// Reloaded says that the settings were read again, and which seeds are used from now on.
+// Reloaded logs a reload of the settings: its cause, the seeds before it, the seeds in
+// use after it, and the error if it failed.
 func (l *Log) Reloaded(cause string, before, seeds []string, err error) {
 	l.logger.Info("settings_reloaded", "cause", cause, "seeds_before", before, "seeds", seeds, "error", err)
 }
 
-// ControlNotFound says that no seed leads to control: how many seeds answered, and how
-// long control has been unknown.
+// ControlNotFound logs that no seed returned the addresses of the control hosts: how
+// many seeds responded, and for how long the addresses have been unknown.
 func (l *Log) ControlNotFound(seeds []string, answered int, since time.Duration) {
 	l.logger.Warn("control_not_found", "seeds", seeds, "seeds_answered", answered, "since_ms", since.Milliseconds())
 }
 
-// ControlFound says that a process follows control after it did not know where it was.
+// ControlFound logs the addresses of the control hosts after they were unknown, and for
+// how long they were.
 func (l *Log) ControlFound(addresses []string, after time.Duration) {
 	l.logger.Info("control_found", "control", addresses, "after_ms", after.Milliseconds())
 }
 
-// DeploymentOffered says how an operator's change ended at this host.
+// DeploymentOffered logs the result of an operator's configuration change at this host.
 func (l *Log) DeploymentOffered(version uint64, bytes int, took time.Duration, err error) {
-	l.say("deployment_offered", "version", version, "bytes", bytes, "took_ms", took.Milliseconds(), "error", err)
+	l.emit("deployment_offered", "version", version, "bytes", bytes, "took_ms", took.Milliseconds(), "error", err)
 }
 
-// DeploymentRead says how an operator's read ended at this host.
+// DeploymentRead logs the result of an operator's configuration read at this host.
 func (l *Log) DeploymentRead(bytes int, took time.Duration, err error) {
-	l.say("deployment_read", "bytes", bytes, "took_ms", took.Milliseconds(), "error", err)
+	l.emit("deployment_read", "bytes", bytes, "took_ms", took.Milliseconds(), "error", err)
 }
 
-// Stopping says that a process was told to stop, and when it will have.
+// Stopping logs that a process was asked to stop, and the time limit for it.
 func (l *Log) Stopping(limit time.Duration) {
 	l.logger.Info("stopping", "at_most_ms", limit.Milliseconds())
 }
 
-// Stopped is the last line of a process; err says why it ended by itself.
+// Stopped logs the end of a process. err is the cause if it was not asked to stop. It is
+// the last line of the process.
 func (l *Log) Stopped(err error) { l.logger.Info("stopped", "error", err) }
--- a/server/events/doc.go
+++ b/server/events/doc.go
@@ -1,9 +1,10 @@
-// Package events is the catalogue of what a process says about requests and about
-// what it believes: one function an event, so that each has one form everywhere.
+// Package events defines the structured log events of a process: those of requests,
+// and those of the process's view of the cluster. Each event has one function, so
+// that its fields are the same everywhere.
 //
-// Lines go to standard output as JSON. Volume is bounded: a request that was served
-// as it should be is logged only if its id falls into the sample, which is the same
-// in every process, so that all lines of a sampled request exist or none; failures
-// and refusals are logged up to a budget of lines a second, and what was dropped is
-// counted and said. Writing never waits for the reader.
+// Lines go to standard output as JSON. Their volume is bounded. Served requests are
+// sampled by a hash of the request id, which is the same in every process, so that
+// either all lines of a request are logged or none. Failures and rejections are
+// rate-limited; skipped and dropped lines are counted and reported. Writing a line
+// never blocks on the reader of the output.
 package events
--- a/server/events/events_test.go
+++ b/server/events/events_test.go
@@ -22,44 +22,44 @@
 	RunSpecs(t, "events")
 }
 
-// stuck is a reader that takes nothing until it is let go.
-type stuck struct {
-	free chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+// blockedWriter is an output that blocks every write until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	buf     bytes.Buffer
 }
 
-func (s *stuck) Write(line []byte) (int, error) {
-	<-s.free
+func (s *blockedWriter) Write(line []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(line)
+	return s.buf.Write(line)
 }
 
-func (s *stuck) lines() int {
+func (s *blockedWriter) lines() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return strings.Count(s.got.String(), "\n")
+	return strings.Count(s.buf.String(), "\n")
 }
 
 var _ = Describe("the writer of log lines", func() {
-	// Whoever collects the logs stops reading. A process that waits for it stops
-	// serving.
-	It("never waits for a reader that is stuck, and counts what it drops", func() {
-		out := &stuck{free: make(chan struct{})}
+	// Guards against a process that stops serving because the log collector has stopped
+	// reading its output.
+	It("never blocks on an output that is blocked, and counts dropped lines", func() {
+		out := &blockedWriter{unblock: make(chan struct{})}
 		w := events.NewWriter(out)
 		for i := range 10_000 {
 			_, err := fmt.Fprintf(w, "line %d\n", i)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Expect(w.Dropped()).To(BeNumerically(">", 5000))
-		close(out.free)
+		close(out.unblock)
 		Eventually(out.lines).Should(BeNumerically(">=", 10_000-int(w.Dropped())))
 	})
 
-	It("writes what waits when it is closed", func() {
-		out := &stuck{free: make(chan struct{})}
-		close(out.free)
+	It("writes the buffered lines when it is closed", func() {
+		out := &blockedWriter{unblock: make(chan struct{})}
+		close(out.unblock)
 		w := events.NewWriter(out)
 		_, _ = io.WriteString(w, "the last line\n")
 		w.Close(time.Second)
@@ -78,9 +78,9 @@
 		log = events.New(logger, func() time.Time { return now })
 	})
 
-	// A fault makes thousands of requests fail in a second. Their lines would take the
-	// processor from those that can still be served.
-	It("keeps to its budget, and says how many lines it left out", func() {
+	// When thousands of requests fail in a second, logging each of them would take CPU
+	// time from the requests that can still be served.
+	It("limits the rate of lines, and reports how many it skipped", func() {
 		for i := range 5000 {
 			log.RequestEnded(events.Ended{Request: fmt.Sprint(i), Kind: fault.Overloaded})
 		}
--- a/server/events/writer.go
+++ b/server/events/writer.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// bufferedLines bounds what waits for a reader that has stopped reading: half
-	// a megabyte at the usual length of a line.
+	// bufferedLines bounds the lines that are buffered while the output blocks: half a
+	// megabyte at the usual length of a line.
 	bufferedLines = 2048
-	// dropReport is how often dropped lines are said.
-	dropReport = time.Second
+	// dropReportInterval is the minimum time between two reports of dropped lines.
+	dropReportInterval = time.Second
 )
 
-// Writer hands lines to a slow writer without waiting for it.
+// Writer buffers lines for a slow writer and drops lines instead of blocking.
 type Writer struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 }
 
-// NewWriter returns a writer that writes to out from a goroutine of its own.
+// NewWriter returns a Writer that writes to out in its own goroutine.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
 
-// Write takes one line; it is dropped and counted when the buffer is full. It never
-// fails: a lost log line must not fail what it tells of.
+// Write buffers one line, or drops and counts it if the buffer is full. It never returns
+// an error, because a lost log line must not fail the operation that it describes.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -45,18 +45,19 @@
 
 func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
-	said, last := int64(0), time.Now()
+	reported, last := int64(0), time.Now()
 	for line := range w.lines {
-		// A reader that is gone leaves nobody to tell.
+		// A write error cannot be reported: the output is where it would be logged.
 		_, _ = out.Write(line)
-		if n := w.dropped.Load(); n != said && time.Since(last) >= dropReport {
-			said, last = n, time.Now()
+		if n := w.dropped.Load(); n != reported && time.Since(last) >= dropReportInterval {
+			reported, last = n, time.Now()
 			_, _ = fmt.Fprintf(out, `{"@level":"warn","@message":"log lines dropped","total":%d}`+"\n", n)
 		}
 	}
 }
 
-// Close writes what waits, for as long as the limit allows.
+// Close writes the buffered lines and returns when they are written or limit has passed.
+// Write must not be called after Close.
 func (w *Writer) Close(limit time.Duration) {
 	close(w.lines)
 	select {
