--- a/server/metrics/agent.go
+++ b/server/metrics/agent.go
@@ -8,18 +8,18 @@
 	"cowsliptiller/coord/fault"
 )
 
-// outcomeOK is the outcome label of what succeeded; the others are error kinds.
+// outcomeOK is the outcome label of a success; the other outcomes are error kinds.
 const outcomeOK = "ok"
 
-// Agent is what an agent measures.
+// Agent holds the metrics of an agent.
 type Agent struct {
-	attempts *prometheus.CounterVec
-	duration prometheus.Histogram
-	orders   *prometheus.CounterVec
-	loads    prometheus.Histogram
+	attempts     *prometheus.CounterVec
+	duration     prometheus.Histogram
+	orders       *prometheus.CounterVec
+	loadDuration prometheus.Histogram
 }
 
-// NewAgent registers the agent's metrics; a nil registry keeps them unseen.
+// NewAgent creates the metrics of an agent and registers them, unless registry is nil.
 func NewAgent(registry prometheus.Registerer) *Agent {
 	a := &Agent{
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -35,38 +35,39 @@
 			Name: "cowslip_agent_orders_total",
 			Help: "Orders given to the target, by order (load, unload) and outcome.",
 		}, []string{"order", "outcome"}),
-		loads: prometheus.NewHistogram(prometheus.HistogramOpts{
+		loadDuration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "cowslip_agent_load_duration_seconds",
 			Help:    "Time of successful model loads.",
 			Buckets: loadBuckets,
 		}),
 	}
-	register(registry, a.attempts, a.duration, a.orders, a.loads)
+	register(registry, a.attempts, a.duration, a.orders, a.loadDuration)
 	return a
 }
 
-// Served counts one attempt.
+// Served counts one attempt and observes its duration.
 func (a *Agent) Served(err error, took time.Duration) {
-	a.attempts.WithLabelValues(outcome(err)).Inc()
+	a.attempts.WithLabelValues(outcomeLabel(err)).Inc()
 	a.duration.Observe(took.Seconds())
 }
 
-// Ordered counts one order to the target.
+// Ordered counts one load or unload order to the target. It observes the duration of a
+// successful load.
 func (a *Agent) Ordered(load bool, err error, took time.Duration) {
-	a.orders.WithLabelValues(orderName(load), outcome(err)).Inc()
+	a.orders.WithLabelValues(orderLabel(load), outcomeLabel(err)).Inc()
 	if load && err == nil {
-		a.loads.Observe(took.Seconds())
+		a.loadDuration.Observe(took.Seconds())
 	}
 }
 
-func orderName(load bool) string {
+func orderLabel(load bool) string {
 	if load {
 		return "load"
 	}
 	return "unload"
 }
 
-func outcome(err error) string {
+func outcomeLabel(err error) string {
 	if err == nil {
 		return outcomeOK
 	}
--- a/server/metrics/control.go
+++ b/server/metrics/control.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// ControlStanding is how a control member stands, read at each scrape.
+// ControlStanding is the status of a control member, read at each scrape.
 type ControlStanding struct {
 	Leading               bool
 	Term                  uint64
@@ -13,12 +13,12 @@
 	Revision              uint64
 	ConfigurationRevision uint64
 	Hosts                 int
-	Replicas              map[string]int // by state
+	Replicas              map[string]int // number of replicas by state
 }
 
-// control turns a standing into metrics at each scrape: the state has its own
-// tables, and counting beside them would only drift.
-type control struct {
+// controlCollector computes the metrics from the member's status at each scrape. Separate
+// counters could diverge from the replicated state.
+type controlCollector struct {
 	read     func() ControlStanding
 	gauges   []gauge
 	replicas *prometheus.Desc
@@ -29,13 +29,14 @@
 	value func(ControlStanding) float64
 }
 
-// RegisterControl registers the metrics of a control member.
+// RegisterControl registers the metrics of a control member. read is called at each
+// scrape.
 func RegisterControl(r prometheus.Registerer, read func() ControlStanding) {
-	c := &control{
+	c := &controlCollector{
 		read:     read,
 		replicas: prometheus.NewDesc("cowslip_control_replicas", "Replica decisions, by state: load, ready or unload.", []string{"state"}, nil),
 	}
-	c.add("cowslip_control_leading", "1 where this member leads and holds the leader's lease.", func(s ControlStanding) float64 { return oneIf(s.Leading) })
+	c.add("cowslip_control_leading", "1 where this member leads and holds the leader's lease.", func(s ControlStanding) float64 { return boolValue(s.Leading) })
 	c.add("cowslip_control_term", "Term of the replicated log.", func(s ControlStanding) float64 { return float64(s.Term) })
 	c.add("cowslip_control_commit_index", "Index of the newest committed entry known here.", func(s ControlStanding) float64 { return float64(s.Commit) })
 	c.add("cowslip_control_applied_index", "Index of the newest applied entry.", func(s ControlStanding) float64 { return float64(s.Applied) })
@@ -47,12 +48,12 @@
 	r.MustRegister(c)
 }
 
-func (c *control) add(name, help string, value func(ControlStanding) float64) {
+func (c *controlCollector) add(name, help string, value func(ControlStanding) float64) {
 	c.gauges = append(c.gauges, gauge{prometheus.NewDesc(name, help, nil, nil), value})
 }
 
 // Describe implements prometheus.Collector.
-func (c *control) Describe(ch chan<- *prometheus.Desc) {
+func (c *controlCollector) Describe(ch chan<- *prometheus.Desc) {
 	for _, g := range c.gauges {
 		ch <- g.desc
 	}
@@ -60,7 +61,7 @@
 }
 
 // Collect implements prometheus.Collector.
-func (c *control) Collect(ch chan<- prometheus.Metric) {
+func (c *controlCollector) Collect(ch chan<- prometheus.Metric) {
 	s := c.read()
 	for _, g := range c.gauges {
 		ch <- prometheus.MustNewConstMetric(g.desc, prometheus.GaugeValue, g.value(s))
@@ -70,7 +71,7 @@
 	}
 }
 
-func oneIf(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/server/metrics/entry.go
+++ b/server/metrics/entry.go
@@ -6,11 +6,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// unknownLabel stands for a workspace or class that was not found out before
-// the request was refused.
+// unknownLabel is the label value for a workspace or class that had not been
+// determined when the request was rejected.
 const unknownLabel = "unknown"
 
-// Entry is what an entry host measures.
+// Entry holds the metrics of an entry host.
 type Entry struct {
 	requests  *prometheus.CounterVec
 	duration  *prometheus.HistogramVec
@@ -19,8 +19,9 @@
 	claims    *prometheus.CounterVec
 }
 
-// NewEntry registers the entry host's metrics; a nil registry keeps them unseen.
-// held and heldBytes tell what is held now.
+// NewEntry creates the metrics of an entry host and registers them, unless registry
+// is nil. held and heldBytes return the number of requests and of request body bytes
+// that are held in memory now.
 func NewEntry(registry prometheus.Registerer, held, heldBytes func() float64) *Entry {
 	e := &Entry{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -58,42 +59,45 @@
 	return e
 }
 
-// Answered counts one request; workspace and class are empty when unknown.
+// Answered counts one request and observes its duration. workspace and class are empty
+// when unknown.
 func (e *Entry) Answered(workspace, class string, err error, took time.Duration) {
-	e.requests.WithLabelValues(orUnknown(workspace), orUnknown(class), outcome(err)).Inc()
-	e.duration.WithLabelValues(orUnknown(class)).Observe(took.Seconds())
+	e.requests.WithLabelValues(labelOrUnknown(workspace), labelOrUnknown(class), outcomeLabel(err)).Inc()
+	e.duration.WithLabelValues(labelOrUnknown(class)).Observe(took.Seconds())
 }
 
-// FirstByte takes the time to the head of an answer.
+// FirstByte observes the time to the head of a response. cold is true when the request
+// waited for a model to load.
 func (e *Entry) FirstByte(class string, cold bool, took time.Duration) {
-	e.firstByte.WithLabelValues(orUnknown(class), yesNo(cold)).Observe(took.Seconds())
+	e.firstByte.WithLabelValues(labelOrUnknown(class), boolLabel(cold)).Observe(took.Seconds())
 }
 
-// Attempted counts one attempt.
+// Attempted counts one attempt sent to an agent.
 func (e *Entry) Attempted(err error) {
-	e.attempts.WithLabelValues(outcome(err)).Inc()
+	e.attempts.WithLabelValues(outcomeLabel(err)).Inc()
 }
 
-// Claimed counts one claim: granted, replayed, or the kind of the error.
+// Claimed counts one claim for a call that must not be repeated. Its result label is
+// granted, replayed, or the kind of the error.
 func (e *Entry) Claimed(replayed bool, err error) {
 	result := "granted"
 	if replayed {
 		result = "replayed"
 	}
 	if err != nil {
-		result = outcome(err)
+		result = outcomeLabel(err)
 	}
 	e.claims.WithLabelValues(result).Inc()
 }
 
-func orUnknown(label string) string {
+func labelOrUnknown(label string) string {
 	if label == "" {
 		return unknownLabel
 	}
 	return label
 }
 
-func yesNo(b bool) string {
+func boolLabel(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/server/metrics/leases.go
+++ b/server/metrics/leases.go
@@ -2,15 +2,15 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Leases is what a control process measures of its commands and of the freshness
-// leases that it grants; how it stands is in ControlStanding.
+// Leases holds the metrics of a control process on proposed commands and granted
+// freshness leases. The status of the member is in ControlStanding.
 type Leases struct {
 	commands *prometheus.CounterVec
 }
 
-// NewLeases registers the metrics; a nil registry keeps them unseen. followers
-// counts the processes with a lease from here, barrierAge is the time in seconds
-// since this process was last known to be up to date.
+// NewLeases creates the metrics and registers them, unless registry is nil. followers
+// returns the number of processes that hold a lease from this one. barrierAge returns
+// the time in seconds since this process was last known to be up to date.
 func NewLeases(registry prometheus.Registerer, followers, barrierAge func() float64) *Leases {
 	l := &Leases{commands: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "cowslip_control_commands_total",
@@ -28,7 +28,7 @@
 	return l
 }
 
-// Command counts one proposed command.
+// Command counts one proposed command by its outcome: ok or an error kind.
 func (l *Leases) Command(outcome string) {
 	l.commands.WithLabelValues(outcome).Inc()
 }
