--- a/server/dial/dial_test.go
+++ b/server/dial/dial_test.go
@@ -11,18 +11,18 @@
 	"cowsliptiller/server/dial"
 )
 
-// openings is a host as seen by who opens connections to it.
-type openings struct {
-	started time.Time
-	up      time.Duration // when it answers from
-	refuses bool
-	tries   int
+// fakeHost is a host that ignores connection attempts until it is up.
+type fakeHost struct {
+	started  time.Time
+	up       time.Duration // time after started from which it responds
+	refuses  bool
+	attempts int
 }
 
-// open is answered if it was sent when the host was up; else nothing comes back, also
-// after it has come up.
-func (o *openings) open(ctx context.Context, _, _ string) (net.Conn, error) {
-	o.tries++
+// dial gets a response only if the host is up when the attempt starts. Otherwise it blocks
+// until the context ends, also when the host comes up meanwhile, as the SYN was lost.
+func (o *fakeHost) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	o.attempts++
 	if time.Since(o.started) < o.up {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -34,13 +34,13 @@
 	return c, nil
 }
 
-// All hosts lose power and come back within half a second. Whoever was back first asked
-// hosts that were not: the opening packet was lost, the kernel would send it again after
-// a second, and for all that time callers were refused.
+// Guards against waiting for the kernel's SYN retransmission after one second. When all
+// hosts restart within half a second, the first ones dial hosts that are not up yet and
+// lose the SYN, and callers are rejected until the retransmission.
 func TestOpensAgainWhereTheFirstPacketWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &openings{started: time.Now(), up: 400 * time.Millisecond}
-		c, err := dial.Again(o.open, time.Second)(context.Background(), "tcp4", "10.0.0.1:1")
+		o := &fakeHost{started: time.Now(), up: 400 * time.Millisecond}
+		c, err := dial.Again(o.dial, time.Second)(context.Background(), "tcp4", "10.0.0.1:1")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,9 +53,9 @@
 
 func TestGivesUpAfterItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &openings{started: time.Now(), up: time.Hour}
-		if _, err := dial.Again(o.open, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
-			t.Error("a host that never answers was reached")
+		o := &fakeHost{started: time.Now(), up: time.Hour}
+		if _, err := dial.Again(o.dial, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
+			t.Error("dialing a host that never responds succeeded")
 		}
 		if took := time.Since(o.started); took != time.Second {
 			t.Errorf("it took %v", took)
@@ -63,41 +63,41 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		if _, err := dial.Again(o.open, time.Second)(ctx, "tcp4", "10.0.0.1:1"); err == nil || time.Since(began) != 100*time.Millisecond {
-			t.Errorf("the caller's time was not kept: %v after %v", err, time.Since(began))
+		if _, err := dial.Again(o.dial, time.Second)(ctx, "tcp4", "10.0.0.1:1"); err == nil || time.Since(began) != 100*time.Millisecond {
+			t.Errorf("the caller's deadline was not kept: got error %v after %v", err, time.Since(began))
 		}
 	})
 }
 
-// The kernel reports a timeout at once, as it does when it has no port or buffer left.
-// Opening again without a pause would keep the processor busy until the time is over.
+// The kernel returns a timeout error immediately, for example when it has no free port or
+// buffer. Retrying without a pause would busy-loop until the overall timeout.
 func TestDoesNotSpinOnATimeoutThatTookNoTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tries := 0
-		open := func(context.Context, string, string) (net.Conn, error) {
-			tries++
-			if tries > 100 {
-				t.Fatal("it spins")
+		attempts := 0
+		dialFunc := func(context.Context, string, string) (net.Conn, error) {
+			attempts++
+			if attempts > 100 {
+				t.Fatal("more than 100 dial attempts")
 			}
 			return nil, syscall.ETIMEDOUT
 		}
-		if _, err := dial.Again(open, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
+		if _, err := dial.Again(dialFunc, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
 			t.Error("no error")
 		}
-		if tries != 1 {
-			t.Errorf("%d tries", tries)
+		if attempts != 1 {
+			t.Errorf("%d dial attempts, want 1", attempts)
 		}
 	})
 }
 
 func TestTakesARefusalForAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &openings{started: time.Now(), refuses: true}
-		if _, err := dial.Again(o.open, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
+		o := &fakeHost{started: time.Now(), refuses: true}
+		if _, err := dial.Again(o.dial, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
 			t.Error("no error")
 		}
-		if o.tries != 1 || time.Since(o.started) != 0 {
-			t.Errorf("%d tries in %v", o.tries, time.Since(o.started))
+		if o.attempts != 1 || time.Since(o.started) != 0 {
+			t.Errorf("%d dial attempts in %v, want 1 without delay", o.attempts, time.Since(o.started))
 		}
 	})
 }
