--- a/server/inflight/group.go
+++ b/server/inflight/group.go
@@ -1,5 +1,5 @@
-// Package inflight counts running requests so that a process can leave without
-// cutting one: new work is refused first, then what runs is waited for.
+// Package inflight counts running requests for a graceful shutdown: new requests are
+// rejected first, then the running ones are awaited.
 package inflight
 
 import (
@@ -9,81 +9,86 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Group counts running work. Its zero value takes work without a limit.
+// Group counts running requests. Its zero value has no limit. It is safe for concurrent
+// use.
 type Group struct {
 	limit int
 
-	mu      sync.Mutex // a leaf: nothing else is locked while it is held
-	running int
-	leaving bool
-	empty   chan struct{} // made by Drain, closed when the last work ends
+	mu       sync.Mutex // no other lock is acquired while it is held
+	running  int
+	draining bool
+	drained  chan struct{} // created by Drain, closed when the last request ends
 }
 
-// NewGroup returns a group that holds at most limit pieces of work; 0: no limit.
+// NewGroup returns a group of at most limit concurrent requests; 0: no limit.
 func NewGroup(limit int) *Group {
 	return &Group{limit: limit}
 }
 
-// Enter begins one piece of work, which the caller ends with done. Errors:
-// fault.Leaving after Drain, fault.Overloaded at the limit; nothing has run.
+// Enter registers a running request, which the caller ends with done; further calls of
+// done have no effect. Errors: fault.Leaving after Drain, fault.Overloaded at the limit;
+// nothing has run then.
 func (g *Group) Enter() (done func(), err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.leaving {
-		return nil, fault.New(fault.Leaving, "this host takes no new work")
+	if g.draining {
+		return nil, fault.New(fault.Leaving, "this host is draining and takes no new requests")
 	}
 	if g.limit > 0 && g.running >= g.limit {
-		return nil, fault.New(fault.Overloaded, "this host holds %d requests, which is its limit", g.limit)
+		return nil, fault.New(fault.Overloaded, "this host has reached its limit of %d concurrent requests", g.limit)
 	}
 	g.running++
-	return sync.OnceFunc(g.exit), nil
+	return sync.OnceFunc(g.finish), nil
 }
 
-func (g *Group) exit() {
+func (g *Group) finish() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running--
-	if g.running == 0 && g.empty != nil {
-		close(g.empty)
-		g.empty = nil
+	if g.running == 0 && g.drained != nil {
+		close(g.drained)
+		g.drained = nil
 	}
 }
 
-// Running returns how much work runs now.
+// Running returns the number of running requests.
 func (g *Group) Running() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.running
 }
 
-// Leaving reports whether Drain was called.
+// Leaving reports whether Drain has been called.
 func (g *Group) Leaving() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leaving
+	return g.draining
 }
 
-// Drain refuses new work and returns when none runs, or with the context's error.
+// Drain rejects new requests and waits until no request is running. It returns the
+// context's error if that ends first.
 func (g *Group) Drain(ctx context.Context) error {
 	select {
-	case <-g.leave():
+	case <-g.startDrain():
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (g *Group) leave() <-chan struct{} {
+// startDrain rejects new requests and returns a channel that is closed when no request is
+// running.
+func (g *Group) startDrain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.leaving = true
+	g.draining = true
 	if g.running == 0 {
 		closed := make(chan struct{})
 		close(closed)
 		return closed
 	}
-	if g.empty == nil {
-		g.empty = make(chan struct{})
+	if g.drained == nil {
+		g.drained = make(chan struct{})
 	}
-	return g.empty
+	return g.drained
 }
