--- a/server/rpc/adopt_test.go
+++ b/server/rpc/adopt_test.go
@@ -10,7 +10,8 @@
 	"cowsliptiller/server/rpc"
 )
 
-// Guards against calls that take longer over a narrow link than a control process is given.
+// Guards against a call whose transfer over a slow link exceeds the time limit of calls to
+// control.
 func TestALongDeploymentIsShortOnItsWay(t *testing.T) {
 	long := &coordpb.AdoptDeployment{
 		Deployment: &coordpb.Deployment{Version: 3}, Source: []byte(strings.Repeat("a route like the others\n", 40_000)),
@@ -21,14 +22,14 @@
 			t.Fatal(err)
 		}
 		if n := proto.Size(r); n > 20<<10 {
-			t.Errorf("%d bytes of %d", n, proto.Size(a))
+			t.Errorf("request of %d bytes for a deployment of %d, want at most 20 KiB", n, proto.Size(a))
 		}
 		got, err := rpc.UnpackAdopt(r)
 		if err != nil || !proto.Equal(got, a) {
-			t.Errorf("another deployment came out: %v", err)
+			t.Errorf("unpacked deployment differs, error %v", err)
 		}
 	}
 	if _, err := rpc.UnpackAdopt(&rpc.AdoptRequest{AdoptGzip: []byte("damaged")}); err == nil {
-		t.Error("a damaged call was read")
+		t.Error("a damaged request was unpacked without an error")
 	}
 }
--- a/server/rpc/doc.go
+++ b/server/rpc/doc.go
@@ -1,3 +1,3 @@
-// Package rpc holds the generated calls between the project's own processes, and
-// how an error kind travels in them.
+// Package rpc contains the generated RPC services between the processes of the
+// cluster, and the conversion of errors to and from Twirp errors.
 package rpc
--- a/server/rpc/fault.go
+++ b/server/rpc/fault.go
@@ -11,7 +11,7 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Keys of a twirp error's metadata, which carries a fault between processes.
+// Keys of the metadata of a Twirp error, which encodes a fault.Error.
 const (
 	metaKind       = "kind"
 	metaRan        = "ran"
@@ -19,7 +19,7 @@
 	metaRetryAfter = "retry_after_ms"
 )
 
-// ToTwirp turns an error of a service method into a twirp error with its kind.
+// ToTwirp converts the error of a service method to a Twirp error that carries its kind.
 func ToTwirp(err error) error {
 	if err == nil {
 		return nil
@@ -32,9 +32,10 @@
 	return out.WithMeta(metaRetryAfter, strconv.FormatInt(f.RetryAfter.Milliseconds(), 10))
 }
 
-// FromTwirp turns an error of a client call into a fault. A call that got no
-// answer of the service is fault.Unavailable with an unknown run: the service may
-// have carried it out. A fault stays as it is.
+// FromTwirp converts the error of a client call to a fault.Error. A call without a
+// response from the service becomes fault.Unavailable, unless its context ended. Both
+// carry fault.RanUnknown, because the service may have executed the call. A fault.Error
+// is returned unchanged.
 func FromTwirp(err error) error {
 	if err == nil {
 		return nil
@@ -45,7 +46,7 @@
 	}
 	var t twirp.Error
 	if errors.As(err, &t) && fault.Known(fault.Kind(t.Meta(metaKind))) {
-		return carried(t)
+		return faultFromMeta(t)
 	}
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 		return fault.WithRan(err, fault.RanUnknown, false)
@@ -53,8 +54,8 @@
 	return fault.WithRan(fault.New(fault.Unavailable, "no answer: %v", err), fault.RanUnknown, false)
 }
 
-func carried(t twirp.Error) error {
-	wait, _ := strconv.ParseInt(t.Meta(metaRetryAfter), 10, 64)
-	err := fault.After(fault.Kind(t.Meta(metaKind)), time.Duration(wait)*time.Millisecond, "%s", t.Msg())
+func faultFromMeta(t twirp.Error) error {
+	retryAfterMs, _ := strconv.ParseInt(t.Meta(metaRetryAfter), 10, 64)
+	err := fault.After(fault.Kind(t.Meta(metaKind)), time.Duration(retryAfterMs)*time.Millisecond, "%s", t.Msg())
 	return fault.WithRan(err, fault.Ran(t.Meta(metaRan)), t.Meta(metaRepeatable) == "true")
 }
