--- a/coord/target/queue.go
+++ b/coord/target/queue.go
@@ -53,7 +53,7 @@
 	prefixes           *Prefixes
 	queue              fair.Queue
 	waiting            map[string]*waitingWork
-	waitingAlone       int                        // waiting requests that must run alone
+	waitingAlone       int                           // waiting requests that must run alone
 	waitingByWorkspace [fair.NumBands]map[string]int // waiting requests by workspace, for each band
 	running            map[string]*runningWork
 	runningLong        int
