--- a/coord/config/check.go
+++ b/coord/config/check.go
@@ -26,7 +26,7 @@
 func (c *checker) report(path, format string, args ...any) {
 	const shown = 20
 	if len(c.problems) == shown {
-		c.problems = append(c.problems, "further problems omitted")
+		c.problems = append(c.problems, "and more")
 	}
 	if len(c.problems) > shown {
 		return
@@ -38,14 +38,14 @@
 // the index of each.
 func (c *checker) names(list string, count int, name func(int) string) map[string]int {
 	if count > maxNames {
-		c.report(list, "has %d entries, at most %d are allowed", count, maxNames)
+		c.report(list, "%d entries, at most %d are allowed", count, maxNames)
 	}
 	seen := make(map[string]int, count)
 	for i := range count {
 		path := fmt.Sprintf("%s.%d.name", list, i)
 		n := name(i)
 		if !namePattern.MatchString(n) {
-			c.report(path, "%q: must be 1 to 63 lower-case letters, digits, '.', '_' or '-', and begin with a letter or digit", n)
+			c.report(path, "%q: names have 1 to 63 lower-case letters, digits, '.', '_' or '-'", n)
 		}
 		if first, dup := seen[n]; dup {
 			c.report(path, "%q is already the name of entry %d", n, first)
@@ -60,7 +60,7 @@
 func check(q *Questionnaire, ls lines) []string {
 	c := &checker{lines: ls}
 	if !namePattern.MatchString(q.Deployment) {
-		c.report("deployment", "%q: must be 1 to 63 lower-case letters, digits, '.', '_' or '-', and begin with a letter or digit", q.Deployment)
+		c.report("deployment", "%q is not a name", q.Deployment)
 	}
 	models := c.names("models", len(q.Models), func(i int) string { return q.Models[i].Name })
 	adapters := c.names("adapters", len(q.Adapters), func(i int) string { return q.Adapters[i].Name })
@@ -81,7 +81,7 @@
 
 func (c *checker) domains(q *Questionnaire) {
 	if len(q.FailureDomains) == 0 {
-		c.report("failure_domains", "at least one is required")
+		c.report("failure_domains", "at least one is needed")
 	}
 	c.names("failure_domains", len(q.FailureDomains), func(i int) string { return q.FailureDomains[i] })
 }
@@ -114,13 +114,13 @@
 			c.report(path+".size", "must be above 0")
 		}
 		if m.Size > largest {
-			c.report(path+".size", "%q needs %d bytes, the largest target holds %d bytes of weights", m.Name, m.Size, largest)
+			c.report(path+".size", "%q needs %d bytes, the largest target holds %d", m.Name, m.Size, largest)
 		}
 		if m.LoadTime <= 0 {
 			c.report(path+".load_time", "must be above 0")
 		}
 		if m.Version == "" {
-			c.report(path+".version", "must not be empty")
+			c.report(path+".version", "must be given")
 		}
 		for j, t := range m.Cached {
 			if _, ok := targets[t]; !ok {
@@ -145,7 +145,7 @@
 			c.report(path+".size", "must be above 0")
 		}
 		if a.Size > q.Models[base].Size {
-			c.report(path+".size", "%q must not be larger than its model", a.Name)
+			c.report(path+".size", "%q is larger than its model", a.Name)
 		}
 	}
 }
@@ -154,15 +154,15 @@
 	for i, s := range q.Services {
 		seen := map[string]bool{}
 		if len(s.Calls) == 0 {
-			c.report(fmt.Sprintf("services.%d.calls", i), "at least one call is required")
+			c.report(fmt.Sprintf("services.%d.calls", i), "at least one call is needed")
 		}
 		for j, call := range s.Calls {
 			path := fmt.Sprintf("services.%d.calls.%d", i, j)
 			if call.Path == "" || call.Path[0] == '/' {
-				c.report(path+".path", "%q: must not be empty or begin with a slash", call.Path)
+				c.report(path+".path", "%q: a path without a leading slash is needed", call.Path)
 			}
 			if seen[call.Path] {
-				c.report(path+".path", "%q is listed twice", call.Path)
+				c.report(path+".path", "%q stands twice", call.Path)
 			}
 			seen[call.Path] = true
 			if _, ok := classes[call.Class]; !ok {
@@ -192,20 +192,20 @@
 				c.report(path+".service", "no service is named %q", t.Service)
 			}
 		default:
-			c.report(path+".kind", "%q: must be %s or %s", t.Kind, KindEngine, KindService)
+			c.report(path+".kind", "%q: %s or %s are allowed", t.Kind, KindEngine, KindService)
 		}
 	}
 }
 
 func (c *checker) engine(path string, t Target) {
 	if t.Service != "" {
-		c.report(path+".service", "must be empty for an engine")
+		c.report(path+".service", "an engine belongs to no service")
 	}
 	if t.Memory <= 0 {
 		c.report(path+".memory", "must be above 0")
 	}
 	if t.KVCache <= 0 || t.KVCache >= t.Memory {
-		c.report(path+".kv_cache", "must be above 0 and below the target's memory")
+		c.report(path+".kv_cache", "must be above 0 and below the memory")
 	}
 }
 
@@ -214,7 +214,7 @@
 	for i, k := range q.Classes {
 		path := fmt.Sprintf("classes.%d", i)
 		if !slices.Contains([]string{UrgencyInteractive, UrgencyMustFinish, UrgencyByDeadline}, k.Urgency) {
-			c.report(path+".urgency", "%q: must be %s, %s or %s", k.Urgency, UrgencyInteractive, UrgencyMustFinish, UrgencyByDeadline)
+			c.report(path+".urgency", "%q: %s, %s or %s are allowed", k.Urgency, UrgencyInteractive, UrgencyMustFinish, UrgencyByDeadline)
 		}
 		if k.Deadline <= 0 || k.Deadline > maxDeadline {
 			c.report(path+".deadline", "must be above 0 and at most 24h")
@@ -227,13 +227,13 @@
 		}
 	}
 	if len(q.Models) > 0 && defaults != 1 {
-		c.report("classes", "exactly one class must be the default, found %d", defaults)
+		c.report("classes", "exactly one class must be the default, %d are", defaults)
 	}
 }
 
 func (c *checker) workspaces(q *Questionnaire, models, adapters, services map[string]int) {
 	if len(q.Workspaces) == 0 {
-		c.report("workspaces", "at least one is required")
+		c.report("workspaces", "at least one is needed")
 	}
 	for i, w := range q.Workspaces {
 		path := fmt.Sprintf("workspaces.%d", i)
--- a/coord/config/questionnaire.go
+++ b/coord/config/questionnaire.go
@@ -154,7 +154,7 @@
 // that is malformed or cannot be served; the error lists the problems with their lines.
 func Parse(text []byte) (*Questionnaire, error) {
 	if len(text) > MaxQuestionnaireBytes {
-		return nil, fault.New(fault.TooLarge, "questionnaire has %d bytes, at most %d are allowed", len(text), MaxQuestionnaireBytes)
+		return nil, fault.New(fault.TooLarge, "questionnaire has %d bytes, at most %d are read", len(text), MaxQuestionnaireBytes)
 	}
 	var q Questionnaire
 	dec := yaml.NewDecoder(bytes.NewReader(text))
@@ -166,7 +166,7 @@
 		return nil, fault.New(fault.InvalidRequest, "questionnaire: %s", strings.TrimPrefix(err.Error(), "yaml: "))
 	}
 	if err := dec.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
-		return nil, fault.New(fault.InvalidRequest, "questionnaire: contains more than one document")
+		return nil, fault.New(fault.InvalidRequest, "questionnaire: more than one document")
 	}
 	if len(check(&q, nil)) == 0 {
 		return &q, nil
