--- a/coord/config/configuration.go
+++ b/coord/config/configuration.go
@@ -167,9 +167,9 @@
 	return spec
 }
 
-// BaseOf resolves the name of a model or an adapter. For an adapter it returns its
+// ResolveModel resolves the name of a model or an adapter. For an adapter it returns its
 // base model and the adapter. It reports false if there is no such name.
-func (c *Configuration) BaseOf(name string) (model, adapter string, ok bool) {
+func (c *Configuration) ResolveModel(name string) (model, adapter string, ok bool) {
 	if _, isModel := c.Models[name]; isModel {
 		return name, "", true
 	}
--- a/coord/consensus/actions_test.go
+++ b/coord/consensus/actions_test.go
@@ -382,7 +382,7 @@
 		c.deliverAll()
 		if leader := c.pick(isLeader); leader != nil && i > rounds/10 && goalIndex == 0 {
 			c.propose()
-			goalIndex = leader.raft.Status().Last
+			goalIndex = leader.raft.Status().LastIndex
 		}
 		if goalIndex != 0 && c.hasConverged(goalIndex) {
 			return
--- a/coord/consensus/cluster_test.go
+++ b/coord/consensus/cluster_test.go
@@ -22,7 +22,7 @@
 )
 
 // disk is the synced state of a member.
-type disk struct{ durable consensus.Durable }
+type disk struct{ durable consensus.PersistentState }
 
 func (d *disk) save(w *consensus.Write) {
 	if !w.Sync {
@@ -37,7 +37,7 @@
 	}
 	if w.Snapshot != nil {
 		d.durable.Snapshot = w.Snapshot
-		entries = entries[len(entriesBefore(entries, w.KeepFrom)):]
+		entries = entries[len(entriesBefore(entries, w.FirstKeptIndex)):]
 	}
 	d.durable.Entries = entries
 	d.durable.HardState = w.HardState
@@ -126,7 +126,7 @@
 }
 
 // add starts a member with a new id.
-func (c *cluster) add(d consensus.Durable) *member {
+func (c *cluster) add(d consensus.PersistentState) *member {
 	c.nextID++
 	// Clock rates deviate by up to 5 %, which the lease's margin must cover.
 	m := &member{id: c.nextID, rate: 0.95 + 0.1*c.random.Float64(), disk: disk{d}}
@@ -253,7 +253,7 @@
 	m.writing = nil
 	m.disk.save(w)
 	c.enqueue(w.Messages)
-	m.raft.Written(c.clock(m), w)
+	m.raft.WriteSynced(c.clock(m), w)
 	c.processReady(m)
 }
 
@@ -321,7 +321,7 @@
 			continue
 		}
 		h := holder.raft.Status()
-		if h.Role != consensus.Leader || h.Lease <= c.clock(holder) {
+		if h.Role != consensus.Leader || h.LeaseUntil <= c.clock(holder) {
 			continue
 		}
 		for _, other := range c.members {
--- a/coord/consensus/config.go
+++ b/coord/consensus/config.go
@@ -47,8 +47,8 @@
 	leaseDenominator = 4
 )
 
-// Durable is the persisted state that a member reads from its data folder at start.
-type Durable struct {
+// PersistentState is the persisted state that a member reads from its data folder at start.
+type PersistentState struct {
 	HardState *coordpb.HardState
 	Snapshot  *coordpb.Snapshot // never nil; in a new group it has index 0 and the initial members
 	Entries   []*coordpb.Entry  // contiguous; may start before the snapshot's index
@@ -57,9 +57,9 @@
 // Bootstrap returns the initial state of a member of a new group. A member that
 // joins a running group starts with no members and receives the membership from
 // the leader.
-func Bootstrap(members []*coordpb.Member) Durable {
+func Bootstrap(members []*coordpb.Member) PersistentState {
 	meta := &coordpb.SnapshotMeta{Membership: &coordpb.Membership{Members: members}}
-	return Durable{HardState: &coordpb.HardState{}, Snapshot: &coordpb.Snapshot{Meta: meta}}
+	return PersistentState{HardState: &coordpb.HardState{}, Snapshot: &coordpb.Snapshot{Meta: meta}}
 }
 
 func (c *Config) check() error {
--- a/coord/consensus/doc.go
+++ b/coord/consensus/doc.go
@@ -11,6 +11,6 @@
 // Order of syncs and messages: messages returned by Messages may be sent at once.
 // Messages in a Write may be sent only after everything else in that Write is
 // synced; the receiver relies on the synced state (a vote, an appended entry, a
-// term). At most one Write is outstanding, and Written completes it. Committed
+// term). At most one Write is outstanding, and WriteSynced completes it. Committed
 // returns only entries that are also synced on this member.
 package consensus
--- a/coord/consensus/election.go
+++ b/coord/consensus/election.go
@@ -45,7 +45,7 @@
 }
 
 // becomeCandidate starts an election in the next term (paper 5.2). The member's own
-// vote counts once it is synced: see Written.
+// vote counts once it is synced: see WriteSynced.
 func (r *Raft) becomeCandidate(transfer bool) {
 	r.becomeFollower(r.term+1, 0)
 	r.role = Candidate
--- a/coord/consensus/leader.go
+++ b/coord/consensus/leader.go
@@ -170,9 +170,9 @@
 	}
 }
 
-// Written must be called when everything in w is synced. It completes w, so that
+// WriteSynced must be called when everything in w is synced. It completes w, so that
 // NextWrite can return another one.
-func (r *Raft) Written(now time.Duration, w *Write) {
+func (r *Raft) WriteSynced(now time.Duration, w *Write) {
 	r.advance(now)
 	r.writing = nil
 	if w.HardState != nil {
--- a/coord/consensus/log.go
+++ b/coord/consensus/log.go
@@ -28,7 +28,7 @@
 	members []*coordpb.Member
 }
 
-func newLog(d Durable) (*raftLog, error) {
+func newLog(d PersistentState) (*raftLog, error) {
 	meta := d.Snapshot.GetMeta()
 	if meta == nil {
 		return nil, fault.New(fault.Internal, "consensus: persisted state has no snapshot")
--- a/coord/consensus/membership.go
+++ b/coord/consensus/membership.go
@@ -147,10 +147,10 @@
 	}
 }
 
-// NoteDisk sets the id of the data folder that a member's messages come from. The
+// SetMemberDisk sets the id of the data folder that a member's messages come from. The
 // leader records it in the membership when it promotes a learner, so that the vote is
 // bound to that data folder and not to a later user of the member id.
-func (r *Raft) NoteDisk(id uint64, disk string) {
+func (r *Raft) SetMemberDisk(id uint64, disk string) {
 	if p := r.leaderState.progress[id]; p != nil {
 		p.disk = disk
 	}
--- a/coord/consensus/raft.go
+++ b/coord/consensus/raft.go
@@ -57,7 +57,7 @@
 // New starts a member from its persisted state. The returned error reports an
 // invalid configuration (fault.InvalidRequest) or an inconsistent state
 // (fault.Internal).
-func New(c Config, d Durable, now time.Duration) (*Raft, error) {
+func New(c Config, d PersistentState, now time.Duration) (*Raft, error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
--- a/coord/consensus/ready.go
+++ b/coord/consensus/ready.go
@@ -16,8 +16,8 @@
 	// Reset removes every stored entry before Entries are added: the snapshot came from
 	// the leader, and the old log does not connect to it.
 	Reset bool
-	// KeepFrom is the first index still needed; entries before it may be deleted.
-	KeepFrom uint64
+	// FirstKeptIndex is the first index still needed; entries before it may be deleted.
+	FirstKeptIndex uint64
 	// Sync is set if Messages depend on this write. Without it, the write contains
 	// nothing but a new commit index and may be skipped.
 	Sync bool
@@ -38,7 +38,7 @@
 	if r.writing != nil {
 		return nil
 	}
-	w := &Write{Messages: r.afterSync, KeepFrom: r.log.baseIndex}
+	w := &Write{Messages: r.afterSync, FirstKeptIndex: r.log.baseIndex}
 	r.fillWrite(w)
 	if !w.Sync && len(w.Messages) == 0 {
 		return nil
@@ -91,26 +91,26 @@
 
 // Status describes the state of a member.
 type Status struct {
-	ID      uint64
-	Term    uint64
-	Role    Role
-	Leader  uint64
-	Commit  uint64
-	Last    uint64
-	Members []*coordpb.Member // must not be modified
-	// Lease is the time until which this member may act as the leader, on the clock of
+	ID        uint64
+	Term      uint64
+	Role      Role
+	Leader    uint64
+	Commit    uint64
+	LastIndex uint64
+	Members   []*coordpb.Member // must not be modified
+	// LeaseUntil is the time until which this member may act as the leader, on the clock of
 	// Tick; 0: no lease. The caller must compare it with the current time when it acts.
-	Lease time.Duration
-	// ActFrom is the index that must be applied before the leader acts: until then its
+	LeaseUntil time.Duration
+	// LeaderReadyIndex is the index that must be applied before the leader acts: until then its
 	// state may lack entries committed by earlier leaders.
-	ActFrom uint64
-	// Matched is, on a leader, the highest index known to be synced on each member.
-	Matched map[uint64]uint64
-	// Silent is, on a leader, the time since each other member's last reply, or since the
+	LeaderReadyIndex uint64
+	// MatchIndex is, on a leader, the highest index known to be synced on each member.
+	MatchIndex map[uint64]uint64
+	// SinceContact is, on a leader, the time since each other member's last reply, or since the
 	// leader started to track the member if that is later.
-	Silent map[uint64]time.Duration
-	// Heard reports, on a leader, which other members have replied in its term.
-	Heard map[uint64]bool
+	SinceContact map[uint64]time.Duration
+	// Responded reports, on a leader, which other members have replied in its term.
+	Responded map[uint64]bool
 	// SteppedDown is this member's latest loss of leadership.
 	SteppedDown StepDown
 }
@@ -119,19 +119,19 @@
 func (r *Raft) Status() Status {
 	s := Status{
 		ID: r.config.ID, Term: r.term, Role: r.role, Leader: r.leader,
-		Commit: r.log.commit, Last: r.log.last(), Members: r.log.membership().members,
+		Commit: r.log.commit, LastIndex: r.log.last(), Members: r.log.membership().members,
 		SteppedDown: r.steppedDown,
 	}
 	if r.role != Leader {
 		return s
 	}
-	s.Lease, s.ActFrom = r.leaderState.leaseUntil, r.leaderState.termStart
-	s.Matched = map[uint64]uint64{r.config.ID: r.log.stable}
-	s.Silent, s.Heard = map[uint64]time.Duration{}, map[uint64]bool{}
+	s.LeaseUntil, s.LeaderReadyIndex = r.leaderState.leaseUntil, r.leaderState.termStart
+	s.MatchIndex = map[uint64]uint64{r.config.ID: r.log.stable}
+	s.SinceContact, s.Responded = map[uint64]time.Duration{}, map[uint64]bool{}
 	for id, p := range r.leaderState.progress {
-		s.Matched[id] = p.match
-		s.Silent[id] = r.now - max(p.lastReply, p.trackedSince)
-		s.Heard[id] = p.hasReplied
+		s.MatchIndex[id] = p.match
+		s.SinceContact[id] = r.now - max(p.lastReply, p.trackedSince)
+		s.Responded[id] = p.hasReplied
 	}
 	return s
 }
--- a/coord/consensus/rules_test.go
+++ b/coord/consensus/rules_test.go
@@ -19,7 +19,7 @@
 	now time.Duration
 }
 
-func newTestMember(d consensus.Durable) *testMember {
+func newTestMember(d consensus.PersistentState) *testMember {
 	r, err := consensus.New(consensus.Config{
 		ID: 1, ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeat, Random: rand.New(rand.NewSource(1)),
 	}, d, 0)
@@ -27,7 +27,7 @@
 	return &testMember{Raft: r}
 }
 
-func bootstrapGroup(size int) consensus.Durable {
+func bootstrapGroup(size int) consensus.PersistentState {
 	var members []*coordpb.Member
 	for i := 1; i <= size; i++ {
 		members = append(members, &coordpb.Member{Id: uint64(i)})
@@ -40,7 +40,7 @@
 	messages := s.Messages()
 	for w := s.NextWrite(); w != nil; w = s.NextWrite() {
 		messages = append(messages, w.Messages...)
-		s.Written(s.now, w)
+		s.WriteSynced(s.now, w)
 		messages = append(messages, s.Messages()...)
 	}
 	return messages
@@ -128,7 +128,7 @@
 		Expect(w.Sync).To(BeTrue())
 		Expect(w.HardState.Vote).To(BeEquivalentTo(2))
 		Expect(kinds(w.Messages)).To(Equal([]coordpb.MessageKind{coordpb.MessageKind_MESSAGE_KIND_VOTE_REPLY}))
-		s.Written(s.now, w)
+		s.WriteSynced(s.now, w)
 
 		Expect(s.Step(s.now, &coordpb.Message{
 			Kind: coordpb.MessageKind_MESSAGE_KIND_APPEND, From: 2, To: 1, Term: 5,
@@ -139,7 +139,7 @@
 		w = s.NextWrite()
 		Expect(w.Entries).To(HaveLen(1))
 		Expect(kinds(w.Messages)).To(Equal([]coordpb.MessageKind{coordpb.MessageKind_MESSAGE_KIND_APPEND_REPLY}))
-		s.Written(s.now, w)
+		s.WriteSynced(s.now, w)
 		Expect(s.Committed().Entries).To(HaveLen(1))
 	})
 
@@ -165,11 +165,11 @@
 	It("holds no lease after a pause of its process, and steps down", func() {
 		s := newTestMember(bootstrapGroup(3))
 		s.elect(2, 3)
-		Expect(s.Status().Lease).To(BeZero())
+		Expect(s.Status().LeaseUntil).To(BeZero())
 		s.heartbeatRound(2)
-		Expect(s.Status().Lease).To(Equal(s.now + electionTimeout*3/4))
+		Expect(s.Status().LeaseUntil).To(Equal(s.now + electionTimeout*3/4))
 		resumed := s.now + electionTimeout
-		Expect(s.Status().Lease).To(BeNumerically("<", resumed))
+		Expect(s.Status().LeaseUntil).To(BeNumerically("<", resumed))
 		s.Tick(resumed)
 		Expect(s.Status().Role).To(Equal(consensus.Follower))
 	})
@@ -187,7 +187,7 @@
 		}
 		s.now += 3 * heartbeat
 		s.reply(coordpb.MessageKind_MESSAGE_KIND_HEARTBEAT_REPLY, 2, func(m *coordpb.Message) { m.ReadContext = round })
-		Expect(s.Status().Lease).To(Equal(sent + electionTimeout*3/4))
+		Expect(s.Status().LeaseUntil).To(Equal(sent + electionTimeout*3/4))
 	})
 
 	// Guards against a member that stays unreachable because its term is ahead of the
@@ -230,7 +230,7 @@
 		Expect(s.Messages()).To(BeEmpty())
 		w := s.NextWrite()
 		Expect(w.HardState.Vote).To(BeEquivalentTo(1))
-		s.Written(2*electionTimeout, w)
+		s.WriteSynced(2*electionTimeout, w)
 		Expect(s.Status().Role).To(Equal(consensus.Leader))
 	})
 
@@ -246,11 +246,11 @@
 		Expect(out.Entries).To(HaveLen(2))
 		later := []*coordpb.Entry{{Index: 1, Term: 2}, {Index: 2, Term: 2}}
 		Expect(s.Step(s.now, &coordpb.Message{Kind: coordpb.MessageKind_MESSAGE_KIND_APPEND, From: 3, To: 1, Term: 2, Entries: later, Commit: 2})).To(Succeed())
-		s.Written(s.now, out)
+		s.WriteSynced(s.now, out)
 		Expect(s.Committed().Entries).To(BeEmpty())
 		w := s.NextWrite()
 		Expect(w.Entries).To(Equal(later))
-		s.Written(s.now, w)
+		s.WriteSynced(s.now, w)
 		Expect(s.Committed().Entries).To(Equal(later))
 	})
 
@@ -264,7 +264,7 @@
 		w := s.NextWrite()
 		Expect(w.Reset).To(BeTrue())
 		Expect(s.Committed().Snapshot).To(BeNil())
-		s.Written(0, w)
+		s.WriteSynced(0, w)
 		Expect(s.Committed().Snapshot).NotTo(BeNil())
 	})
 
@@ -296,9 +296,9 @@
 		s.heartbeatRound(2, 3)
 		Expect(s.Transfer(s.now, 2)).To(Succeed())
 		Expect(kinds(s.syncAll())).To(ContainElement(coordpb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW))
-		Expect(s.Status().Lease).To(BeZero())
+		Expect(s.Status().LeaseUntil).To(BeZero())
 		s.heartbeatRound(2, 3)
-		Expect(s.Status().Lease).To(BeZero())
+		Expect(s.Status().LeaseUntil).To(BeZero())
 		_, _, err := s.Propose(s.now, [][]byte{{1}})
 		Expect(fault.Is(err, fault.NotLeader)).To(BeTrue())
 		for range 25 {
--- a/coord/consensus/stepdown.go
+++ b/coord/consensus/stepdown.go
@@ -15,9 +15,9 @@
 
 // StepDown describes the latest loss of leadership of a member.
 type StepDown struct {
-	Term    uint64 // the term in which it led; 0 if it never stepped down
-	Reason  StepDownReason
-	Contact time.Duration // time since the latest heartbeat round acknowledged by a quorum was sent
+	Term               uint64 // the term in which it led; 0 if it never stepped down
+	Reason             StepDownReason
+	SinceQuorumContact time.Duration // time since the latest heartbeat round acknowledged by a quorum was sent
 }
 
 // stepDown ends leadership in the current term without a known successor.
@@ -27,5 +27,5 @@
 }
 
 func (r *Raft) recordStepDown(reason StepDownReason) {
-	r.steppedDown = StepDown{Term: r.term, Reason: reason, Contact: r.now - r.leaderState.quorumContact}
+	r.steppedDown = StepDown{Term: r.term, Reason: reason, SinceQuorumContact: r.now - r.leaderState.quorumContact}
 }
--- a/coord/deployment/deployment_test.go
+++ b/coord/deployment/deployment_test.go
@@ -73,8 +73,8 @@
 	})
 
 	It("finds the workspace of a key, and reports which routes need a key", func() {
-		Expect(x.Holder("key").Name).To(Equal("w"))
-		Expect(x.Holder("other")).To(BeNil())
+		Expect(x.WorkspaceFor("key").Name).To(Equal("w"))
+		Expect(x.WorkspaceFor("other")).To(BeNil())
 		Expect(x.NeedsKey(x.Route("h.example", "/a/"))).To(BeTrue())
 		Expect(x.NeedsKey(&coordpb.DeploymentRoute{Anonymous: true})).To(BeFalse())
 	})
@@ -93,9 +93,9 @@
 	It("returns how long a caller waits for an event", func() {
 		r := route("h", "/a/")
 		r.LatencyMs, r.PauseMs = 300, 300
-		Expect(deployment.Patience(r)).To(Equal(2400 * time.Millisecond))
+		Expect(deployment.EventTimeout(r)).To(Equal(2400 * time.Millisecond))
 		r.LatencyMs = 2500
-		Expect(deployment.Patience(r)).To(Equal(10 * time.Second))
+		Expect(deployment.EventTimeout(r)).To(Equal(10 * time.Second))
 	})
 })
 
--- a/coord/deployment/index.go
+++ b/coord/deployment/index.go
@@ -91,8 +91,8 @@
 // Service returns a service by name, nil if there is none.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Holder returns the workspace that a key belongs to, nil if there is none.
-func (x *Index) Holder(key string) *coordpb.DeploymentWorkspace { return x.byKey[DigestOf(key)] }
+// WorkspaceFor returns the workspace that a key belongs to, nil if there is none.
+func (x *Index) WorkspaceFor(key string) *coordpb.DeploymentWorkspace { return x.byKey[DigestOf(key)] }
 
 // NeedsKey reports whether calls on a route must carry a key: the deployment has
 // workspaces, and the route is not anonymous.
@@ -137,9 +137,9 @@
 	return x ^ x>>33
 }
 
-// Limits returns the rate limits of a deployment's workspaces by name. A workspace with
+// WorkspaceLimits returns the rate limits of a deployment's workspaces by name. A workspace with
 // a rate of 0 has no limit and is left out.
-func Limits(d *coordpb.Deployment) map[string]workspace.Limit {
+func WorkspaceLimits(d *coordpb.Deployment) map[string]workspace.Limit {
 	limits := map[string]workspace.Limit{}
 	for _, w := range d.GetWorkspaces() {
 		if w.Rate > 0 {
@@ -157,10 +157,10 @@
 	timeoutPauses    = 8 // multiple of the route's longest pause between events
 )
 
-// Patience returns how long a caller of a streaming route waits for the next event.
+// EventTimeout returns how long a caller of a streaming route waits for the next event.
 // A request whose answer cannot begin within that time is rejected at once with a
 // retry delay.
-func Patience(r *coordpb.DeploymentRoute) time.Duration {
+func EventTimeout(r *coordpb.DeploymentRoute) time.Duration {
 	return max(minEventTimeout,
 		timeoutLatencies*time.Duration(r.LatencyMs)*time.Millisecond,
 		timeoutPauses*time.Duration(r.PauseMs)*time.Millisecond)
--- a/coord/deployment/register.go
+++ b/coord/deployment/register.go
@@ -6,10 +6,10 @@
 	"cowsliptiller/coord/coordpb"
 )
 
-// Source is a deployment's document as received, compressed with gzip if Packed is set.
+// Source is a deployment's document as received, compressed with gzip if Gzipped is set.
 type Source struct {
-	Bytes  []byte
-	Packed bool
+	Bytes   []byte
+	Gzipped bool
 }
 
 // Register holds the deployment in force and the document that it was made from.
@@ -26,7 +26,7 @@
 	if m.GetDeployment().GetVersion() <= r.Version() {
 		return false
 	}
-	r.current, r.source, r.since = m.Deployment, Source{Bytes: m.Source, Packed: m.SourcePacked}, revision
+	r.current, r.source, r.since = m.Deployment, Source{Bytes: m.Source, Gzipped: m.SourcePacked}, revision
 	return true
 }
 
@@ -54,11 +54,11 @@
 		return
 	}
 	m.Deployment = proto.Clone(r.current).(*coordpb.Deployment)
-	m.DeploymentSource, m.DeploymentSourcePacked, m.DeploymentStateRevision = r.source.Bytes, r.source.Packed, r.since
+	m.DeploymentSource, m.DeploymentSourcePacked, m.DeploymentStateRevision = r.source.Bytes, r.source.Gzipped, r.since
 }
 
 // Import restores a register from a snapshot.
 func Import(m *coordpb.StateSnapshot) Register {
-	source := Source{Bytes: m.DeploymentSource, Packed: m.DeploymentSourcePacked}
+	source := Source{Bytes: m.DeploymentSource, Gzipped: m.DeploymentSourcePacked}
 	return Register{current: m.Deployment, source: source, since: m.DeploymentStateRevision}
 }
--- a/coord/discovery/announcements.go
+++ b/coord/discovery/announcements.go
@@ -31,9 +31,9 @@
 	return &Announcements{byAnnouncer: map[string]announcement{}}
 }
 
-// Note records an announcement from the control process at an address. A new sender is
+// Record records an announcement from the control process at an address. A new sender is
 // ignored while the table is full.
-func (a *Announcements) Note(from string, addresses []string, now time.Time) {
+func (a *Announcements) Record(from string, addresses []string, now time.Time) {
 	a.dropExpired(now)
 	if _, known := a.byAnnouncer[from]; !known && len(a.byAnnouncer) >= maxAnnouncers {
 		return
--- a/coord/discovery/announcer.go
+++ b/coord/discovery/announcer.go
@@ -42,9 +42,9 @@
 // NewAnnouncer returns an announcer without recipients.
 func NewAnnouncer() *Announcer { return &Announcer{recipients: map[string]*recipient{}} }
 
-// SetAudience replaces the recipients: the seeds in the settings, and the registered
+// SetRecipients replaces the recipients: the seeds in the settings, and the registered
 // processes that do not poll this one. New recipients are due at once.
-func (a *Announcer) SetAudience(seeds, processes []string, now time.Time) {
+func (a *Announcer) SetRecipients(seeds, processes []string, now time.Time) {
 	kept := make(map[string]*recipient, len(seeds)+len(processes))
 	for _, address := range processes {
 		kept[address] = a.recipient(address, now)
--- a/coord/discovery/discovery_test.go
+++ b/coord/discovery/discovery_test.go
@@ -43,7 +43,7 @@
 
 	// Guards against a restarted seed that receives no announcement within 1 s.
 	It("announces to each seed at least once per second, whatever the outcome", func() {
-		a.SetAudience([]string{"s1", "s2"}, nil, start)
+		a.SetRecipients([]string{"s1", "s2"}, nil, start)
 		for _, times := range run(a, 10*time.Second, always(discovery.Following)) {
 			Expect(times[0]).To(BeZero())
 			for i, t := range times[1:] {
@@ -58,7 +58,7 @@
 		for i := range 350 {
 			hosts = append(hosts, fmt.Sprintf("h%03d", i))
 		}
-		a.SetAudience(nil, hosts, start)
+		a.SetRecipients(nil, hosts, start)
 		sent := run(a, 30*time.Second, func(address string, now time.Duration) discovery.Outcome {
 			if address == "h007" && now < 12*time.Second {
 				return discovery.Unreachable
@@ -79,22 +79,22 @@
 
 	// Guards against traffic that grows with the number of permanently lost processes.
 	It("backs off from processes that never answer", func() {
-		a.SetAudience(nil, []string{"gone"}, start)
+		a.SetRecipients(nil, []string{"gone"}, start)
 		Expect(len(run(a, time.Minute, always(discovery.Unreachable))["gone"])).To(BeNumerically("<", 13))
 	})
 
 	It("announces again to a process that stopped polling, and to none twice at a time", func() {
-		a.SetAudience(nil, []string{"h"}, start)
+		a.SetRecipients(nil, []string{"h"}, start)
 		Expect(a.Due(start, noLimit)).To(Equal([]string{"h"}))
 		Expect(a.Due(start.Add(time.Hour), noLimit)).To(BeEmpty())
 		a.Done("h", discovery.Following, start)
-		a.SetAudience(nil, nil, start.Add(time.Second))
-		a.SetAudience(nil, []string{"h"}, start.Add(2*time.Second))
+		a.SetRecipients(nil, nil, start.Add(time.Second))
+		a.SetRecipients(nil, []string{"h"}, start.Add(2*time.Second))
 		Expect(a.Due(start.Add(2*time.Second), noLimit)).To(Equal([]string{"h"}))
 	})
 
 	It("returns no more recipients than the limit", func() {
-		a.SetAudience([]string{"a", "b"}, []string{"c"}, start)
+		a.SetRecipients([]string{"a", "b"}, []string{"c"}, start)
 		Expect(a.Due(start, 2)).To(Equal([]string{"a", "b"}))
 		Expect(a.Due(start, 2)).To(Equal([]string{"c"}))
 	})
@@ -103,11 +103,11 @@
 var _ = Describe("announcements", func() {
 	It("are relayed for as long as they are repeated", func() {
 		table := discovery.NewAnnouncements()
-		table.Note("m1", []string{"m1", "m2"}, start)
-		table.Note("m3", []string{"m1", "m3"}, start)
+		table.Record("m1", []string{"m1", "m2"}, start)
+		table.Record("m3", []string{"m1", "m3"}, start)
 		Expect(table.Addresses(start)).To(Equal([]string{"m1", "m2", "m3"}))
 		later := start.Add(9 * time.Second)
-		table.Note("m3", []string{"m3"}, later)
+		table.Record("m3", []string{"m3"}, later)
 		Expect(table.Addresses(later.Add(2 * time.Second))).To(Equal([]string{"m3"}))
 		Expect(table.Addresses(later.Add(time.Minute))).To(BeEmpty())
 	})
@@ -120,12 +120,12 @@
 		hosts = append(hosts, fmt.Sprintf("10.0.%d.%d:7600", i/200, i%200+1))
 	}
 	a := discovery.NewAnnouncer()
-	a.SetAudience(nil, hosts, start)
+	a.SetRecipients(nil, hosts, start)
 	for _, address := range a.Due(start, noLimit) {
 		a.Done(address, discovery.Following, start)
 	}
 	for b.Loop() {
-		a.SetAudience(nil, hosts, start)
+		a.SetRecipients(nil, hosts, start)
 		a.Due(start, noLimit)
 	}
 }
--- a/coord/fault/error.go
+++ b/coord/fault/error.go
@@ -32,8 +32,8 @@
 	return merry.WrapSkipping(newError(k, fmt.Sprintf(format, args...)), 1)
 }
 
-// After is like New and sets the delay after which the client should retry.
-func After(k Kind, wait time.Duration, format string, args ...any) error {
+// NewRetryAfter is like New and sets the delay after which the client should retry.
+func NewRetryAfter(k Kind, wait time.Duration, format string, args ...any) error {
 	e := newError(k, fmt.Sprintf(format, args...))
 	e.RetryAfter = wait
 	return merry.WrapSkipping(e, 1)
--- a/coord/fleet/repair.go
+++ b/coord/fleet/repair.go
@@ -26,25 +26,25 @@
 	// removalSilence is the silence after which a member is removed without a replacement:
 	// above the duration of every transient restart, network partition or process freeze.
 	removalSilence = 20 * time.Second
-	// AnswersWithin is the silence below which a member counts as answering.
-	AnswersWithin = time.Second
+	// MaxAnsweringSilence is the silence below which a member counts as answering.
+	MaxAnsweringSilence = time.Second
 )
 
-// Repair returns a member to remove now and the reason for the log. Tolerated is the
+// MemberToRemove returns a member to remove now and the reason for the log. Tolerated is the
 // number of members that may fail at once; a voter is removed only if at least
 // 2*tolerated+1 voters answer, or if another member has its address.
-func Repair(members []Member, tolerated int) (id uint64, reason string, ok bool) {
+func MemberToRemove(members []Member, tolerated int) (id uint64, reason string, ok bool) {
 	byAddress := map[string]int{}
 	answering := 0
 	for _, m := range members {
 		byAddress[m.Address]++
-		if m.Voter && m.Silent < AnswersWithin {
+		if m.Voter && m.Silent < MaxAnsweringSilence {
 			answering++
 		}
 	}
 	for _, m := range members {
 		// Of two members with one address, the silent one is from before the disk was lost.
-		if byAddress[m.Address] > 1 && m.Silent >= AnswersWithin {
+		if byAddress[m.Address] > 1 && m.Silent >= MaxAnsweringSilence {
 			return m.ID, "silent, and another member joined from its address: its disk was lost or replaced", true
 		}
 	}
--- a/coord/fleet/repair_test.go
+++ b/coord/fleet/repair_test.go
@@ -21,16 +21,16 @@
 	}
 
 	It("removes nobody if all members answer or the tolerated number is silent", func() {
-		_, _, ok := fleet.Repair(group(0, 0, 0), 1)
+		_, _, ok := fleet.MemberToRemove(group(0, 0, 0), 1)
 		Expect(ok).To(BeFalse())
-		_, _, ok = fleet.Repair(group(0, 0, time.Hour), 1)
+		_, _, ok = fleet.MemberToRemove(group(0, 0, time.Hour), 1)
 		Expect(ok).To(BeFalse())
 	})
 
 	// Guards against a lost majority: if a replaced member still counts and one more host
 	// is lost, 2 of 4 voters are no majority.
 	It("removes a silent member once another has replaced it", func() {
-		id, _, ok := fleet.Repair(group(0, 0, 2*time.Second, 0), 1)
+		id, _, ok := fleet.MemberToRemove(group(0, 0, 2*time.Second, 0), 1)
 		Expect(ok).To(BeTrue())
 		Expect(id).To(Equal(uint64(3)))
 	})
@@ -38,7 +38,7 @@
 	It("does not count a learner as a replacement", func() {
 		g := group(0, 0, 2*time.Second, 0)
 		g[3].Voter = false
-		_, _, ok := fleet.Repair(g, 1)
+		_, _, ok := fleet.MemberToRemove(g, 1)
 		Expect(ok).To(BeFalse())
 	})
 
@@ -47,7 +47,7 @@
 	It("removes the former member of a host that lost its disk", func() {
 		g := group(0, 0, 2*time.Second)
 		g = append(g, fleet.Member{ID: 9, Address: "c"})
-		id, _, ok := fleet.Repair(g, 1)
+		id, _, ok := fleet.MemberToRemove(g, 1)
 		Expect(ok).To(BeTrue())
 		Expect(id).To(Equal(uint64(3)))
 	})
@@ -56,7 +56,7 @@
 		for n := 3; n <= 8; n++ {
 			g := group(make([]time.Duration, n)...)
 			g[0].Silent = time.Hour
-			_, _, ok := fleet.Repair(g, 2)
+			_, _, ok := fleet.MemberToRemove(g, 2)
 			Expect(ok).To(Equal(n-1 >= 5), "with %d members", n)
 		}
 	})
--- a/coord/fleet/subscribers.go
+++ b/coord/fleet/subscribers.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// ID identifies one start of one role on a host. A restarted process is a new
+// SubscriberID identifies one start of one role on a host. A restarted process is a new
 // subscriber: its predecessor may be frozen rather than dead, and the predecessor's
 // lease counts until it expires.
-type ID struct {
+type SubscriberID struct {
 	Host        string
 	Role        string
 	Incarnation string
@@ -17,14 +17,14 @@
 
 // Subscriber is the state of one process that follows through this control process.
 type Subscriber struct {
-	ID           ID
+	ID           SubscriberID
 	Acknowledged uint64    // highest revision that it reported to hold
 	LeaseEnd     time.Time // end of its latest freshness lease on the grantor's clock
-	Seen         time.Time // time of its last poll
+	LastPoll     time.Time // time of its last poll
 }
 
-// Live reports whether its freshness lease may still be valid.
-func (s *Subscriber) Live(now time.Time) bool {
+// LeaseValid reports whether its freshness lease may still be valid.
+func (s *Subscriber) LeaseValid(now time.Time) bool {
 	return now.Before(s.LeaseEnd)
 }
 
@@ -35,7 +35,7 @@
 // under its lease without polling, so a lease counts until the subscriber acknowledges
 // the revision or the lease expires, whichever comes first.
 type Subscribers struct {
-	byID    map[ID]*Subscriber
+	byID    map[SubscriberID]*Subscriber
 	settled time.Time
 }
 
@@ -43,25 +43,25 @@
 // the start, leases granted by an earlier start of this control process may still be
 // valid; they are not in the table.
 func NewSubscribers(settled time.Time) *Subscribers {
-	return &Subscribers{byID: map[ID]*Subscriber{}, settled: settled}
+	return &Subscribers{byID: map[SubscriberID]*Subscriber{}, settled: settled}
 }
 
-// Seen records a poll and the revision that it acknowledges.
-func (t *Subscribers) Seen(id ID, revision uint64, now time.Time) {
+// RecordPoll records a poll and the revision that it acknowledges.
+func (t *Subscribers) RecordPoll(id SubscriberID, revision uint64, now time.Time) {
 	s := t.ensure(id)
-	s.Seen = now
+	s.LastPoll = now
 	s.Acknowledged = max(s.Acknowledged, revision)
 }
 
-// Grant records a freshness lease that ends at until. It never shortens a lease.
-func (t *Subscribers) Grant(id ID, until time.Time) {
+// RecordLease records a freshness lease that ends at until. It never shortens a lease.
+func (t *Subscribers) RecordLease(id SubscriberID, until time.Time) {
 	s := t.ensure(id)
 	if until.After(s.LeaseEnd) {
 		s.LeaseEnd = until
 	}
 }
 
-func (t *Subscribers) ensure(id ID) *Subscriber {
+func (t *Subscribers) ensure(id SubscriberID) *Subscriber {
 	s, ok := t.byID[id]
 	if !ok {
 		s = &Subscriber{ID: id}
@@ -83,7 +83,7 @@
 		return false
 	}
 	for _, s := range t.byID { // any order: one entry decides
-		if s.Live(now) && s.Acknowledged < revision {
+		if s.LeaseValid(now) && s.Acknowledged < revision {
 			return false
 		}
 	}
@@ -104,13 +104,13 @@
 // lease has ended. One whose lease may still be valid is never removed.
 func (t *Subscribers) Prune(before, now time.Time) {
 	for id, s := range t.byID { // any order: entries are independent
-		if s.Seen.Before(before) && !s.Live(now) {
+		if s.LastPoll.Before(before) && !s.LeaseValid(now) {
 			delete(t.byID, id)
 		}
 	}
 }
 
-func compareIDs(a, b ID) int {
+func compareIDs(a, b SubscriberID) int {
 	for _, pair := range [][2]string{{a.Host, b.Host}, {a.Role, b.Role}, {a.Incarnation, b.Incarnation}} {
 		if pair[0] != pair[1] {
 			if pair[0] < pair[1] {
--- a/coord/fleet/suite_test.go
+++ b/coord/fleet/suite_test.go
@@ -18,20 +18,20 @@
 var _ = Describe("subscribers", func() {
 	start := time.Unix(1000, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	entry := fleet.ID{Host: "e1", Role: "entry", Incarnation: "i1"}
+	entry := fleet.SubscriberID{Host: "e1", Role: "entry", Incarnation: "i1"}
 	table := func() *fleet.Subscribers { return fleet.NewSubscribers(at(3)) }
 
 	// Guards against a key reported as withdrawn while an entry host that was just cut
 	// off by a network partition still accepts it under its lease.
 	It("reports a revision in force once each live lease has acknowledged it or expired", func() {
 		s := table()
-		s.Seen(entry, 6, at(4))
-		s.Grant(entry, at(7))
+		s.RecordPoll(entry, 6, at(4))
+		s.RecordLease(entry, at(7))
 		Expect(s.InForce(6, at(5))).To(BeTrue())
 		Expect(s.InForce(7, at(5))).To(BeFalse())
 		Expect(s.InForce(7, at(7))).To(BeTrue())
-		s.Grant(entry, at(9))
-		s.Seen(entry, 7, at(8))
+		s.RecordLease(entry, at(9))
+		s.RecordPoll(entry, 7, at(8))
 		Expect(s.InForce(7, at(8))).To(BeTrue())
 	})
 
@@ -47,22 +47,22 @@
 	// restarted on another machine under the same host name.
 	It("counts the lease of a superseded incarnation until it expires", func() {
 		s := table()
-		s.Seen(entry, 6, at(4))
-		s.Grant(entry, at(7))
+		s.RecordPoll(entry, 6, at(4))
+		s.RecordLease(entry, at(7))
 		next := entry
 		next.Incarnation = "i2"
-		s.Seen(next, 8, at(5))
-		s.Grant(next, at(8))
+		s.RecordPoll(next, 8, at(5))
+		s.RecordLease(next, at(8))
 		Expect(s.InForce(8, at(6))).To(BeFalse())
 		Expect(s.InForce(8, at(7))).To(BeTrue())
 	})
 
 	It("never shortens a lease, lowers an acknowledgement or removes a live lease", func() {
 		s := table()
-		s.Seen(entry, 6, at(4))
-		s.Seen(entry, 5, at(5))
-		s.Grant(entry, at(9))
-		s.Grant(entry, at(7))
+		s.RecordPoll(entry, 6, at(4))
+		s.RecordPoll(entry, 5, at(5))
+		s.RecordLease(entry, at(9))
+		s.RecordLease(entry, at(7))
 		Expect(s.List()[0].Acknowledged).To(Equal(uint64(6)))
 		s.Prune(at(8), at(8))
 		Expect(s.InForce(7, at(8))).To(BeFalse())
--- a/coord/request/admission.go
+++ b/coord/request/admission.go
@@ -98,7 +98,7 @@
 	d := a.destination(p.Destination)
 	used := a.usageByWorkspace[p.Workspace]
 	if used.calls >= a.bounds.Calls-a.calls || used.bytes+p.Bytes > a.bounds.Bytes-a.bytes {
-		return fault.After(fault.Overloaded, max(d.classQueue(p).estimateWait(p), minRetryAfter), "the entry host has no room left for calls of this workspace")
+		return fault.NewRetryAfter(fault.Overloaded, max(d.classQueue(p).estimateWait(p), minRetryAfter), "the entry host has no room left for calls of this workspace")
 	}
 	if err := d.checkFeasible(p, now); err != nil {
 		return err
@@ -156,7 +156,7 @@
 			return noTargetError(name)
 		}
 		if late := readyAt.Sub(d.expiry(p)); late > 0 {
-			return fault.After(fault.NoCapacity, late, "%s cannot be loaded before the deadline", name)
+			return fault.NewRetryAfter(fault.NoCapacity, late, "%s cannot be loaded before the deadline", name)
 		}
 		return nil
 	})
@@ -234,7 +234,7 @@
 	q.queue.Adjust(p.Workspace, p.Weight, max(1, p.Tokens), 0)
 	if !now.Before(d.expiry(p)) {
 		a.addUsage(p, -1)
-		return fault.After(fault.Overloaded, max(q.estimateWait(p), minRetryAfter), "the request cannot complete before its deadline")
+		return fault.NewRetryAfter(fault.Overloaded, max(q.estimateWait(p), minRetryAfter), "the request cannot complete before its deadline")
 	}
 	a.enqueue(p, d)
 	return nil
@@ -307,7 +307,7 @@
 			if now.Before(d.expiry(p)) {
 				return nil
 			}
-			return fault.After(fault.Overloaded, max(d.classQueue(p).estimateWait(p), minRetryAfter), "the wait for %s would pass the deadline", name)
+			return fault.NewRetryAfter(fault.Overloaded, max(d.classQueue(p).estimateWait(p), minRetryAfter), "the wait for %s would pass the deadline", name)
 		})...)
 	}
 	a.nextExpiry = time.Time{}
--- a/coord/request/classqueue.go
+++ b/coord/request/classqueue.go
@@ -100,10 +100,10 @@
 		start, kind = d.readyAt, fault.NoCapacity
 	}
 	if late := start.Sub(d.expiry(p)); late > 0 {
-		return fault.After(kind, max(late, minRetryAfter), "%s cannot answer before the deadline", p.Destination)
+		return fault.NewRetryAfter(kind, max(late, minRetryAfter), "%s cannot answer before the deadline", p.Destination)
 	}
 	if late := start.Add(d.classQueue(p).estimateWait(p)).Sub(d.expiry(p)); late > 0 {
-		return fault.After(fault.Overloaded, max(late, minRetryAfter), "the wait for %s would pass the deadline", p.Destination)
+		return fault.NewRetryAfter(fault.Overloaded, max(late, minRetryAfter), "the wait for %s would pass the deadline", p.Destination)
 	}
 	return nil
 }
--- a/coord/state/backup.go
+++ b/coord/state/backup.go
@@ -13,8 +13,8 @@
 // smaller state, and the loss would go unnoticed.
 const backupHeader = "cowsliptiller-backup-1\n"
 
-// Backup encodes a snapshot in the backup format that FromBackup reads.
-func Backup(snapshot []byte) []byte {
+// EncodeBackup encodes a snapshot in the backup format that SnapshotFromBackup reads.
+func EncodeBackup(snapshot []byte) []byte {
 	sum := sha256.Sum256(snapshot)
 	out := append([]byte(backupHeader), sum[:]...)
 	return append(out, snapshot...)
@@ -26,12 +26,12 @@
 // fencing numbers. A million is far more than is committed between two backups.
 const BackupGap = 1 << 20
 
-// FromBackup converts a backup into the first snapshot of a new group. All counters
+// SnapshotFromBackup converts a backup into the first snapshot of a new group. All counters
 // are increased by BackupGap, and followers of any earlier view receive a full view.
 // Equal backups give equal snapshots.
 //
 // Errors: fault.InvalidRequest for a corrupt backup or an unknown format.
-func FromBackup(backup []byte) ([]byte, error) {
+func SnapshotFromBackup(backup []byte) ([]byte, error) {
 	data, err := decodeBackup(backup)
 	if err != nil {
 		return nil, err
--- a/coord/state/fuzz_input_test.go
+++ b/coord/state/fuzz_input_test.go
@@ -9,7 +9,7 @@
 )
 
 // FuzzRecords passes arbitrary bytes, as read from a disk or another process, to
-// Restore, FromBackup and Apply. None may panic, and a rejected snapshot must leave the
+// Restore, SnapshotFromBackup and Apply. None may panic, and a rejected snapshot must leave the
 // state unchanged.
 func FuzzRecords(f *testing.F) {
 	s := New()
@@ -25,14 +25,14 @@
 	}
 	f.Add(snapshot, command)
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f}, []byte{0x52, 0x00})
-	f.Add(Backup(snapshot), []byte(nil))
+	f.Add(EncodeBackup(snapshot), []byte(nil))
 	f.Fuzz(func(t *testing.T, snapshot, command []byte) {
 		s := New()
 		before := s.Revision()
 		if err := s.Restore(snapshot); err != nil && s.Revision() != before {
 			t.Fatal("Restore returned an error but changed the state")
 		}
-		if inner, err := FromBackup(snapshot); err == nil {
+		if inner, err := SnapshotFromBackup(snapshot); err == nil {
 			if err := New().Restore(inner); err != nil {
 				t.Fatalf("FromBackup accepted a backup whose snapshot Restore rejects: %v", err)
 			}
--- a/coord/state/state.go
+++ b/coord/state/state.go
@@ -124,8 +124,8 @@
 	return &coordpb.Result{Kind: string(f.Kind), Message: f.Message}
 }
 
-// Err converts a result into an error of package fault, nil for success.
-func Err(r *coordpb.Result) error {
+// ResultError converts a result into an error of package fault, nil for success.
+func ResultError(r *coordpb.Result) error {
 	if r.GetKind() == "" {
 		return nil
 	}
--- a/coord/target/adapters.go
+++ b/coord/target/adapters.go
@@ -34,7 +34,7 @@
 }
 
 // AdapterOrder instructs the engine to load (Load is true) or unload an adapter. The
-// engine's confirmation is passed to AdapterLoaded or AdapterGone.
+// engine's confirmation is passed to AdapterLoaded or AdapterUnloaded.
 type AdapterOrder struct {
 	Load    bool
 	Adapter string
@@ -55,19 +55,19 @@
 	return &Adapters{ledger: ledger, maxLoading: max(1, maxLoading), adapters: make(map[string]*adapter)}
 }
 
-// ShareOf returns one agent's share of the store's limit on concurrent adapter loads,
+// AdapterLoadShare returns one agent's share of the store's limit on concurrent adapter loads,
 // at least 1.
-func ShareOf(limit, agents int) int {
+func AdapterLoadShare(limit, agents int) int {
 	return max(1, limit/max(1, agents))
 }
 
-// Need acquires an adapter for a request; Release returns it. If ready is true, the
+// Acquire acquires an adapter for a request; Release returns it. If ready is true, the
 // adapter is loaded. If ready is false and err is nil, the caller sends the orders to the
-// engine, does not call Need again for this request, and checks Ready after each
+// engine, does not call Acquire again for this request, and checks Ready after each
 // confirmation of the engine. The error is fault.Overloaded with a retry delay while the
 // adapter is being unloaded, while all load slots are in use, or when memory is short;
 // in the last case the orders evict idle adapters and must be sent as well.
-func (s *Adapters) Need(name, model string, bytes int64, now time.Time) (ready bool, orders []AdapterOrder, err error) {
+func (s *Adapters) Acquire(name, model string, bytes int64, now time.Time) (ready bool, orders []AdapterOrder, err error) {
 	a, known := s.adapters[name]
 	if known && a.state != AdapterUnloading {
 		a.refs++
@@ -75,14 +75,14 @@
 		return a.state == AdapterReady, nil, nil
 	}
 	if known {
-		return false, nil, fault.After(fault.Overloaded, adapterRetryAfter, "adapter %s is being unloaded", name)
+		return false, nil, fault.NewRetryAfter(fault.Overloaded, adapterRetryAfter, "adapter %s is being unloaded", name)
 	}
 	if s.loading >= s.maxLoading {
-		return false, nil, fault.After(fault.Overloaded, adapterRetryAfter, "%d adapter loads are in flight", s.loading)
+		return false, nil, fault.NewRetryAfter(fault.Overloaded, adapterRetryAfter, "%d adapter loads are in flight", s.loading)
 	}
 	id := entryID("adapter/"+name, model)
 	if err := s.ledger.Reserve(id, bytes); err != nil {
-		return false, s.evict(bytes - s.ledger.Available() - s.unloadingBytes()), fault.After(fault.Overloaded, adapterRetryAfter, "not enough free memory for adapter %s", name)
+		return false, s.evict(bytes - s.ledger.Available() - s.unloadingBytes()), fault.NewRetryAfter(fault.Overloaded, adapterRetryAfter, "not enough free memory for adapter %s", name)
 	}
 	s.adapters[name] = &adapter{name: name, model: model, bytes: bytes, refs: 1, lastUsed: now}
 	s.loading++
@@ -138,7 +138,7 @@
 	return known && a.state == AdapterReady
 }
 
-// Release returns an adapter that a request acquired with Need.
+// Release returns an adapter that a request acquired with Acquire.
 func (s *Adapters) Release(name string, now time.Time) {
 	if a, known := s.adapters[name]; known && a.refs > 0 {
 		a.refs--
@@ -157,9 +157,9 @@
 	s.ledger.Confirm(entryID("adapter/"+name, a.model))
 }
 
-// AdapterGone records the engine's confirmation that no part of an adapter is in memory,
+// AdapterUnloaded records the engine's confirmation that no part of an adapter is in memory,
 // and frees its reservation.
-func (s *Adapters) AdapterGone(name string) {
+func (s *Adapters) AdapterUnloaded(name string) {
 	a, known := s.adapters[name]
 	if !known {
 		return
--- a/coord/target/choice.go
+++ b/coord/target/choice.go
@@ -16,7 +16,7 @@
 		return false
 	}
 	for _, w := range q.waiting {
-		if w.Alone && now.Sub(w.Arrived) >= q.stats.Mean(w.Band) {
+		if w.Exclusive && now.Sub(w.Arrived) >= q.stats.Mean(w.Band) {
 			return true
 		}
 	}
@@ -27,7 +27,7 @@
 // or -1.
 func (q *Queue) chooseAlone(items []fair.Item) int {
 	for i, it := range items {
-		if w := q.waiting[it.ID]; w.Alone && q.fits(w.Work) {
+		if w := q.waiting[it.ID]; w.Exclusive && q.fits(w.Work) {
 			return i
 		}
 	}
@@ -44,7 +44,7 @@
 		if !q.fits(w.Work) {
 			continue
 		}
-		cached := q.prefixes.Has(w.Prefix)
+		cached := q.prefixes.Has(w.PrefixHash)
 		switch {
 		case first < 0 && (cached || w.skipped >= maxSkips):
 			return i
@@ -64,7 +64,7 @@
 // that arrived before next, if next has a cached prefix. It is not part of choose because
 // choose also examines workspaces that are then not served.
 func (q *Queue) countSkips(next fair.Item) {
-	if !q.prefixes.Has(q.waiting[next.ID].Prefix) {
+	if !q.prefixes.Has(q.waiting[next.ID].PrefixHash) {
 		return
 	}
 	for _, w := range q.waiting {
@@ -76,7 +76,7 @@
 
 // fits reports whether a request may start in addition to the running ones.
 func (q *Queue) fits(w Work) bool {
-	if w.Alone {
+	if w.Exclusive {
 		return len(q.running) == 0
 	}
 	return !q.isLong(w) || q.runningLong < max(1, int(float64(q.limit.Current())*longWorkShare))
--- a/coord/target/queue.go
+++ b/coord/target/queue.go
@@ -34,17 +34,17 @@
 
 // Work is one request at the target.
 type Work struct {
-	ID        string
-	Workspace string
-	KeyID     string
-	Model     string
-	Band      fair.Band
-	Weight    int64 // scheduling weight of the workspace: its rate
-	Tokens    int64 // prompt tokens plus the most that may be generated
-	Alone     bool  // suspected of crashing its target: no other request may run at the same time
-	Prefix    string
-	Arrived   time.Time
-	Deadline  time.Time
+	ID         string
+	Workspace  string
+	KeyID      string
+	Model      string
+	Band       fair.Band
+	Weight     int64 // scheduling weight of the workspace: its rate
+	Tokens     int64 // prompt tokens plus the most that may be generated
+	Exclusive  bool  // suspected of crashing its target: no other request may run at the same time
+	PrefixHash string
+	Arrived    time.Time
+	Deadline   time.Time
 }
 
 // Queue is the run queue of one target.
@@ -101,15 +101,15 @@
 	case !now.Before(w.Deadline):
 		return fault.New(fault.Expired, "the deadline passed before the request was queued at the target")
 	case q.waitingByWorkspace[w.Band][w.Workspace] >= maxWaitingFactor*q.limit.Current()-q.queue.Waiting(w.Band):
-		return fault.After(fault.Overloaded, max(minRetryAfter, q.expectedWait(w)), "%d requests wait", len(q.waiting))
+		return fault.NewRetryAfter(fault.Overloaded, max(minRetryAfter, q.expectedWait(w)), "%d requests wait", len(q.waiting))
 	}
 	if late := now.Add(q.expectedWait(w)).Sub(q.latestStart(w)); late > 0 {
-		return fault.After(fault.Overloaded, max(minRetryAfter, late), "the wait would pass the deadline")
+		return fault.NewRetryAfter(fault.Overloaded, max(minRetryAfter, late), "the wait would pass the deadline")
 	}
 	w.Tokens = max(1, w.Tokens)
 	q.waiting[w.ID] = &waitingWork{Work: w}
 	q.waitingByWorkspace[w.Band][w.Workspace]++
-	if w.Alone {
+	if w.Exclusive {
 		q.waitingAlone++
 	}
 	q.queue.Push(fair.Item{
@@ -154,7 +154,7 @@
 	w := q.removeWaiting(it.ID)
 	r := &runningWork{work: w, long: q.isLong(w), started: now}
 	q.running[w.ID] = r
-	q.runningAlone = w.Alone
+	q.runningAlone = w.Exclusive
 	if r.long {
 		q.runningLong++
 	}
@@ -170,7 +170,7 @@
 func (q *Queue) removeWaiting(id string) Work {
 	w := q.waiting[id].Work
 	delete(q.waiting, id)
-	if w.Alone {
+	if w.Exclusive {
 		q.waitingAlone--
 	}
 	q.waitingByWorkspace[w.Band][w.Workspace]--
@@ -188,7 +188,7 @@
 	}
 	r.ttft = max(1, now.Sub(r.started))
 	q.limit.Observe(r.ttft, len(q.running), now)
-	q.prefixes.Touch(r.work.Prefix)
+	q.prefixes.Touch(r.work.PrefixHash)
 }
 
 // Done records the end of a running request that used the given number of tokens; ok
@@ -199,7 +199,7 @@
 		return
 	}
 	delete(q.running, id)
-	q.runningAlone = q.runningAlone && !r.work.Alone
+	q.runningAlone = q.runningAlone && !r.work.Exclusive
 	if r.long {
 		q.runningLong--
 	}
@@ -235,12 +235,12 @@
 		if now.Before(q.latestStart(w)) {
 			return nil
 		}
-		return fault.After(fault.Overloaded, max(minRetryAfter, q.expectedWait(w)), "the request can no longer finish by its deadline")
+		return fault.NewRetryAfter(fault.Overloaded, max(minRetryAfter, q.expectedWait(w)), "the request can no longer finish by its deadline")
 	})
 }
 
-// Withdraw rejects the waiting requests that were sent with the withdrawn key keyID.
-func (q *Queue) Withdraw(keyID string) []Refusal {
+// RevokeKey rejects the waiting requests that were sent with the withdrawn key keyID.
+func (q *Queue) RevokeKey(keyID string) []Refusal {
 	return q.refuse(func(w Work) error {
 		if w.KeyID != keyID {
 			return nil
@@ -280,9 +280,9 @@
 	return len(q.running) == 0 && len(q.waiting) == 0
 }
 
-// Crash records a crash of the target: it ends all running requests and returns them
+// TargetCrashed records a crash of the target: it ends all running requests and returns them
 // sorted by ID.
-func (q *Queue) Crash(now time.Time) []Work {
+func (q *Queue) TargetCrashed(now time.Time) []Work {
 	var ran []Work
 	for _, id := range slices.Sorted(maps.Keys(q.running)) {
 		ran = append(ran, q.running[id].work)
@@ -292,15 +292,15 @@
 	return ran
 }
 
-// Load is the load of a target, as reported to entry hosts in replies.
-type Load struct {
-	Running int
-	Queued  int
-	Limit   int
-	Service time.Duration // mean service time of interactive requests
+// QueueLoad is the load of a target, as reported to entry hosts in replies.
+type QueueLoad struct {
+	Running     int
+	Queued      int
+	Limit       int
+	ServiceTime time.Duration // mean service time of interactive requests
 }
 
 // Load returns the current load.
-func (q *Queue) Load() Load {
-	return Load{len(q.running), len(q.waiting), q.limit.Current(), q.stats.Mean(fair.Interactive)}
+func (q *Queue) Load() QueueLoad {
+	return QueueLoad{len(q.running), len(q.waiting), q.limit.Current(), q.stats.Mean(fair.Interactive)}
 }
--- a/coord/target/replicas.go
+++ b/coord/target/replicas.go
@@ -29,19 +29,19 @@
 	Loading ReplicaState = iota // load ordered, memory reserved
 	Ready                       // the engine confirmed the load
 	Unloading
-	Stuck // the load failed; memory stays reserved until the engine confirms that it is free
+	LoadFailed // the load failed; memory stays reserved until the engine confirms that it is free
 )
 
-// Replica is a model version at this target. Bytes is its memory; Idle is when it last
+// Replica is a model version at this target. Bytes is its memory; IdleSince is when it last
 // became idle: at its load or at the end of a request.
 type Replica struct {
-	Model   string
-	Version string
-	Fencing uint64
-	Bytes   int64
-	State   ReplicaState
-	Running int // running requests that use it
-	Idle    time.Time
+	Model     string
+	Version   string
+	Fencing   uint64
+	Bytes     int64
+	State     ReplicaState
+	Running   int // running requests that use it
+	IdleSince time.Time
 }
 
 // OrderKind is the operation that an Order requests from the engine.
@@ -54,7 +54,7 @@
 )
 
 // Order instructs the engine to load or unload a model version. The engine's reply is
-// passed to Loaded, Gone or LoadFailed.
+// passed to Loaded, Unloaded or LoadFailed.
 type Order struct {
 	Kind    OrderKind
 	Model   string
@@ -139,7 +139,7 @@
 // unless it is wanted.
 func (r *Replicas) adoptModel(m LoadedModel, wanted bool, now time.Time) []Order {
 	r.ledger.Adopt(entryID(m.Model, m.Version), m.Bytes)
-	rep := &Replica{Model: m.Model, Version: m.Version, Fencing: r.highestFencing[m.Model], Bytes: m.Bytes, State: Ready, Idle: now}
+	rep := &Replica{Model: m.Model, Version: m.Version, Fencing: r.highestFencing[m.Model], Bytes: m.Bytes, State: Ready, IdleSince: now}
 	r.replicas[m.Model] = rep
 	if m.Loading {
 		rep.State = Loading
@@ -200,7 +200,7 @@
 func (r *Replicas) load(d Decision, rep *Replica, present bool, now time.Time) (*Order, error) {
 	if present && rep.Version == d.Version && rep.State != Unloading {
 		rep.Fencing = d.Fencing
-		if rep.State == Stuck {
+		if rep.State == LoadFailed {
 			rep.State = Loading
 			return &Order{OrderLoad, d.Model, d.Version, d.Fencing}, nil
 		}
@@ -209,7 +209,7 @@
 	if err := r.ledger.Reserve(entryID(d.Model, d.Version), d.Bytes); err != nil {
 		return nil, err
 	}
-	r.replicas[d.Model] = &Replica{Model: d.Model, Version: d.Version, Fencing: d.Fencing, Bytes: d.Bytes, State: Loading, Idle: now}
+	r.replicas[d.Model] = &Replica{Model: d.Model, Version: d.Version, Fencing: d.Fencing, Bytes: d.Bytes, State: Loading, IdleSince: now}
 	return &Order{OrderLoad, d.Model, d.Version, d.Fencing}, nil
 }
 
@@ -229,20 +229,20 @@
 	if !known || rep.Version != version || rep.State == Unloading {
 		return false
 	}
-	rep.State, rep.Idle = Ready, now
+	rep.State, rep.IdleSince = Ready, now
 	return r.ledger.Confirm(entryID(model, version))
 }
 
-// LoadFailed records that a load failed. Its memory stays reserved until Gone is called.
+// LoadFailed records that a load failed. Its memory stays reserved until Unloaded is called.
 func (r *Replicas) LoadFailed(model, version string) {
 	if rep, known := r.replicas[model]; known && rep.Version == version {
-		rep.State = Stuck
+		rep.State = LoadFailed
 	}
 }
 
-// Gone records the engine's confirmation that no part of a model version is in memory, and
+// Unloaded records the engine's confirmation that no part of a model version is in memory, and
 // frees its reservation.
-func (r *Replicas) Gone(model, version string) {
+func (r *Replicas) Unloaded(model, version string) {
 	r.ledger.Free(entryID(model, version))
 	if rep, known := r.replicas[model]; known && rep.Version == version {
 		delete(r.replicas, model)
@@ -250,12 +250,12 @@
 }
 
 func (r *Replicas) drop(rep *Replica) {
-	r.Gone(rep.Model, rep.Version)
+	r.Unloaded(rep.Model, rep.Version)
 }
 
-// Use counts a request that starts on a model; Release ends it. The error is fault.NotHere
+// Acquire counts a request that starts on a model; Release ends it. The error is fault.NotHere
 // if the model is not ready.
-func (r *Replicas) Use(model string) error {
+func (r *Replicas) Acquire(model string) error {
 	rep, known := r.replicas[model]
 	if !known || rep.State != Ready {
 		return fault.New(fault.NotHere, "model %s is not loaded at this target", model)
@@ -264,11 +264,11 @@
 	return nil
 }
 
-// Release records the end of a request that was counted by Use.
+// Release records the end of a request that was counted by Acquire.
 func (r *Replicas) Release(model string, now time.Time) {
 	if rep, known := r.replicas[model]; known && rep.Running > 0 {
 		rep.Running--
-		rep.Idle = now
+		rep.IdleSince = now
 	}
 }
 
--- a/coord/target/target_test.go
+++ b/coord/target/target_test.go
@@ -49,7 +49,7 @@
 		r.LoadFailed("a", "1")
 		_, err = r.Decide(target.Decision{Model: "b", Version: "1", Bytes: 60, Fencing: 2, Load: true}, now)
 		Expect(fault.Is(err, fault.NoCapacity)).To(BeTrue())
-		r.Gone("a", "1")
+		r.Unloaded("a", "1")
 		_, err = r.Decide(target.Decision{Model: "b", Version: "1", Bytes: 60, Fencing: 2, Load: true}, now)
 		Expect(err).NotTo(HaveOccurred())
 	})
@@ -62,7 +62,7 @@
 		r.Loaded("a", "1", now)
 		_, err := r.Decide(target.Decision{Model: "a", Version: "2", Bytes: 60, Fencing: 2, Load: true}, now)
 		Expect(fault.Is(err, fault.NoCapacity)).To(BeTrue())
-		Expect(r.Use("a")).To(Succeed())
+		Expect(r.Acquire("a")).To(Succeed())
 		Expect(l.Used()).To(Equal(int64(60)))
 	})
 
@@ -141,15 +141,15 @@
 				},
 				"loaded":  func(t *rapid.T) { r.Loaded(models.Draw(t, "model"), versions.Draw(t, "version"), now) },
 				"failed":  func(t *rapid.T) { r.LoadFailed(models.Draw(t, "model"), versions.Draw(t, "version")) },
-				"use":     func(t *rapid.T) { _ = r.Use(models.Draw(t, "model")) },
+				"use":     func(t *rapid.T) { _ = r.Acquire(models.Draw(t, "model")) },
 				"release": func(t *rapid.T) { r.Release(models.Draw(t, "model"), now) },
 				"gone": func(t *rapid.T) {
 					m, v := models.Draw(t, "model"), versions.Draw(t, "version")
 					delete(engine, m+"@"+v)
-					r.Gone(m, v)
+					r.Unloaded(m, v)
 				},
 				"need": func(t *rapid.T) {
-					_, orders, _ := s.Need(adapters.Draw(t, "adapter"), "a", 9, now)
+					_, orders, _ := s.Acquire(adapters.Draw(t, "adapter"), "a", 9, now)
 					recordLoads(orders)
 				},
 				"adapter done": func(t *rapid.T) { s.Release(adapters.Draw(t, "adapter"), now) },
@@ -168,7 +168,7 @@
 						delete(pending, a)
 					}
 					delete(engine, "adapter/"+a)
-					s.AdapterGone(a)
+					s.AdapterUnloaded(a)
 				},
 				"": func(t *rapid.T) {
 					total := int64(0)
@@ -191,20 +191,20 @@
 		l := target.NewLedger(30, 0)
 		s := target.NewAdapters(l, 4)
 		for i, name := range []string{"x", "y", "z"} {
-			_, orders, err := s.Need(name, "m", 10, start.Add(time.Duration(i)*time.Second))
+			_, orders, err := s.Acquire(name, "m", 10, start.Add(time.Duration(i)*time.Second))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(orders).To(HaveLen(1))
 			s.AdapterLoaded(name)
 		}
 		s.Release("y", start.Add(10*time.Second))
 		s.Release("z", start.Add(11*time.Second))
-		_, orders, err := s.Need("w", "m", 10, start.Add(12*time.Second))
+		_, orders, err := s.Acquire("w", "m", 10, start.Add(12*time.Second))
 		Expect(fault.Is(err, fault.Overloaded)).To(BeTrue())
 		Expect(orders).To(Equal([]target.AdapterOrder{{Adapter: "y", Model: "m"}}))
-		_, orders, _ = s.Need("w", "m", 10, start.Add(12*time.Second))
+		_, orders, _ = s.Acquire("w", "m", 10, start.Add(12*time.Second))
 		Expect(orders).To(BeEmpty(), "an unload that makes enough room is already in progress")
-		s.AdapterGone("y")
-		_, orders, err = s.Need("w", "m", 10, start.Add(13*time.Second))
+		s.AdapterUnloaded("y")
+		_, orders, err = s.Acquire("w", "m", 10, start.Add(13*time.Second))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(orders[0].Load).To(BeTrue())
 	})
@@ -222,7 +222,7 @@
 		_, ok := q.Pop(start)
 		Expect(ok).To(BeTrue())
 		suspect := work(2, "a", fair.Interactive, 10, start)
-		suspect.Alone = true
+		suspect.Exclusive = true
 		Expect(q.Push(suspect, start)).To(Succeed())
 		Expect(q.Push(work(3, "b", fair.Interactive, 10, start), start)).To(Succeed())
 		_, ok = q.Pop(start.Add(time.Second))
@@ -232,7 +232,7 @@
 		Expect(w.ID).To(Equal("2"))
 		_, ok = q.Pop(start.Add(time.Second))
 		Expect(ok).To(BeFalse())
-		Expect(q.Crash(start.Add(2*time.Second))).To(HaveLen(1), "only the suspected request was running")
+		Expect(q.TargetCrashed(start.Add(2*time.Second))).To(HaveLen(1), "only the suspected request was running")
 		w, _ = q.Pop(start.Add(2 * time.Second))
 		Expect(w.ID).To(Equal("3"))
 	})
@@ -273,7 +273,7 @@
 		q.Prefixes().ApplyEvent(1, "hot", true)
 		for n, prefix := range []string{"cold", "hot", "hot", "cold"} {
 			w := work(n, "a", fair.Interactive, 10, start.Add(time.Duration(n)))
-			w.Prefix = prefix
+			w.PrefixHash = prefix
 			Expect(q.Push(w, start)).To(Succeed())
 		}
 		w, _ := q.Pop(start)
@@ -312,7 +312,7 @@
 				"push": func(t *rapid.T) {
 					n++
 					w := work(n, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "ws"), fair.Band(rapid.IntRange(0, 2).Draw(t, "band")), rapid.Int64Range(1, 9000).Draw(t, "tokens"), now)
-					w.Alone = rapid.IntRange(0, 5).Draw(t, "alone") == 0
+					w.Exclusive = rapid.IntRange(0, 5).Draw(t, "alone") == 0
 					w.Deadline = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 					if q.Push(w, now) == nil {
 						waiting[w.ID] = true
@@ -323,7 +323,7 @@
 					if !ok {
 						return
 					}
-					if !waiting[w.ID] || w.Alone && len(running) > 0 {
+					if !waiting[w.ID] || w.Exclusive && len(running) > 0 {
 						t.Fatalf("started %+v while %d requests were running", w, len(running))
 					}
 					delete(waiting, w.ID)
@@ -343,7 +343,7 @@
 					delete(waiting, id)
 				},
 				"crash": func(t *rapid.T) {
-					if got := q.Crash(now); len(got) != len(running) {
+					if got := q.TargetCrashed(now); len(got) != len(running) {
 						t.Fatalf("crash returned %d requests, want %d", len(got), len(running))
 					}
 					clear(running)
--- a/coord/workspace/account.go
+++ b/coord/workspace/account.go
@@ -168,7 +168,7 @@
 	if !a.ownerAnswers(now) {
 		return fault.New(fault.NoQuorum, "the owner of the rate of workspace %s does not answer", ws)
 	}
-	return fault.After(fault.RateLimited, max(a.retryAfter, a.queueDelay(now), time.Millisecond), "workspace %s is over its rate", ws)
+	return fault.NewRetryAfter(fault.RateLimited, max(a.retryAfter, a.queueDelay(now), time.Millisecond), "workspace %s is over its rate", ws)
 }
 
 func (a *account) addRefund(r Refund) {
--- a/ctl/experiment/own_order.go
+++ b/ctl/experiment/own_order.go
@@ -130,7 +130,7 @@
 	err := o.q.Push(engines.Work{
 		ID: id, Workspace: r.workspace, Model: r.model, Band: calls.NewClass(o.w.config.Classes[r.class]).Band,
 		Weight: o.w.config.Workspaces[r.workspace].Rate, Tokens: r.tokens(),
-		Prefix: strconv.FormatUint(r.prefix, 16), Arrived: epoch.Add(r.at), Deadline: epoch.Add(r.deadline),
+		PrefixHash: strconv.FormatUint(r.prefix, 16), Arrived: epoch.Add(r.at), Deadline: epoch.Add(r.deadline),
 	}, o.w.time())
 	if err == nil {
 		o.byID[id] = r
@@ -168,7 +168,7 @@
 func (o *ownQueue) drain() []*request { return o.taken(o.q.Drain()) }
 
 func (o *ownQueue) crash() (ran, waited []*request) {
-	for _, work := range o.q.Crash(o.w.time()) {
+	for _, work := range o.q.TargetCrashed(o.w.time()) {
 		ran = append(ran, o.byID[work.ID])
 		delete(o.byID, work.ID)
 	}
@@ -178,5 +178,5 @@
 
 func (o *ownQueue) load() routing.LoadReport {
 	l := o.q.Load()
-	return routing.LoadReport{Running: l.Running, Queued: l.Queued, Limit: l.Limit, ServiceTime: l.Service}
+	return routing.LoadReport{Running: l.Running, Queued: l.Queued, Limit: l.Limit, ServiceTime: l.ServiceTime}
 }
--- a/server/agent/agent.go
+++ b/server/agent/agent.go
@@ -121,7 +121,7 @@
 
 // Ready implements process.Role.
 func (a *Agent) Ready() error {
-	if a.work.Leaving() {
+	if a.work.Draining() {
 		return fault.New(fault.Leaving, "the agent is leaving")
 	}
 	if !a.cfg.Source.Fresh(a.cfg.Now()) {
@@ -223,7 +223,7 @@
 	if a.mem != nil {
 		return
 	}
-	share := target.ShareOf(snapshot.Configuration.Store.AdapterLoads, engines(snapshot.Configuration))
+	share := target.AdapterLoadShare(snapshot.Configuration.Store.AdapterLoads, engines(snapshot.Configuration))
 	a.mem = newMemory(a.cfg.Now, a.started, spec, share)
 	a.turns = newQueue(a.cfg.Now, spec.Concurrency)
 	turns := a.turns
--- a/server/agent/memory.go
+++ b/server/agent/memory.go
@@ -87,7 +87,7 @@
 		// Not fault.NotHere: that would tell entry hosts that the model is gone.
 		return nil, fault.New(fault.Unavailable, "the agent does not yet know what its target holds")
 	}
-	if err := m.replicas.Use(model); err != nil {
+	if err := m.replicas.Acquire(model); err != nil {
 		return nil, err
 	}
 	return sync.OnceFunc(func() {
@@ -175,7 +175,7 @@
 		}
 		switch told := status.model(r.Model); {
 		case told == nil:
-			m.replicas.Gone(r.Model, r.Version)
+			m.replicas.Unloaded(r.Model, r.Version)
 		case told.Loaded:
 			m.replicas.Loaded(r.Model, r.Version, m.now())
 		case !told.Loading:
@@ -238,12 +238,12 @@
 	delete(m.busy, order.Model)
 	m.orders++
 	if old, ok := m.replaced[order.Model]; ok && (told == nil || told.Version != old) {
-		m.replicas.Gone(order.Model, old)
+		m.replicas.Unloaded(order.Model, old)
 		delete(m.replaced, order.Model)
 	}
 	switch {
 	case told == nil:
-		m.replicas.Gone(order.Model, order.Version)
+		m.replicas.Unloaded(order.Model, order.Version)
 		m.dropAdapters()
 	case order.Kind == target.OrderLoad && told.Loaded && told.Version == order.Version:
 		m.replicas.Loaded(order.Model, order.Version, m.now())
--- a/server/agent/memory_adapters.go
+++ b/server/agent/memory_adapters.go
@@ -17,7 +17,7 @@
 func (m *memory) adoptAdapters(status *Status) {
 	for _, model := range status.Models {
 		for _, adapter := range model.Adapters {
-			if _, _, err := m.adapters.Need(adapter.Name, model.Name, adapter.Bytes, m.now()); err != nil {
+			if _, _, err := m.adapters.Acquire(adapter.Name, model.Name, adapter.Bytes, m.now()); err != nil {
 				continue
 			}
 			m.adapters.AdapterLoaded(adapter.Name)
@@ -36,7 +36,7 @@
 	}
 	for adapter, model := range m.models {
 		if !held[model] && m.loading[adapter] == nil {
-			m.adapters.AdapterGone(adapter)
+			m.adapters.AdapterUnloaded(adapter)
 			delete(m.models, adapter)
 		}
 	}
@@ -76,7 +76,7 @@
 func (m *memory) tryAdapter(spec config.AdapterSpec, order func(target.AdapterOrder)) (load chan struct{}, held bool, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	ready, orders, err := m.adapters.Need(spec.Name, spec.Model, spec.Bytes, m.now())
+	ready, orders, err := m.adapters.Acquire(spec.Name, spec.Model, spec.Bytes, m.now())
 	for _, o := range orders {
 		if o.Load {
 			m.loading[o.Adapter] = make(chan struct{})
@@ -126,7 +126,7 @@
 		m.adapters.AdapterLoaded(o.Adapter)
 	}
 	if gone {
-		m.adapters.AdapterGone(o.Adapter)
+		m.adapters.AdapterUnloaded(o.Adapter)
 		delete(m.models, o.Adapter)
 	}
 }
--- a/server/agent/orders.go
+++ b/server/agent/orders.go
@@ -113,7 +113,7 @@
 func (a *Agent) carryOut(ctx context.Context, m *memory, snapshot *view.Snapshot, r *coordpb.Replica) {
 	held, here := m.replica(r.Model)
 	wanted := r.State != coordpb.ReplicaState_REPLICA_STATE_UNLOAD
-	if here && held.State == target.Stuck {
+	if here && held.State == target.LoadFailed {
 		// A load that died holds memory until it is unloaded.
 		wanted = false
 	}
@@ -246,7 +246,7 @@
 
 // Report returns what the target holds, for the agent's Sync calls.
 func (a *Agent) Report() *rpc.ReplicaReport {
-	report := &rpc.ReplicaReport{Leaving: a.work.Leaving()}
+	report := &rpc.ReplicaReport{Leaving: a.work.Draining()}
 	m := a.memory()
 	if m == nil {
 		return report
@@ -263,7 +263,7 @@
 	for _, r := range replicas {
 		if r.State == target.Ready {
 			report.Loaded = append(report.Loaded, &rpc.LoadedModel{
-				Model: r.Model, Fencing: r.Fencing, IdleMs: now.Sub(r.Idle).Milliseconds(), Running: uint32(r.Running)})
+				Model: r.Model, Fencing: r.Fencing, IdleMs: now.Sub(r.IdleSince).Milliseconds(), Running: uint32(r.Running)})
 		}
 	}
 	return report
--- a/server/agent/prefix.go
+++ b/server/agent/prefix.go
@@ -18,11 +18,11 @@
 // A fingerprint that two texts share costs one wrong place in the order of one
 // workspace, at most as far as target.Queue lets a cached prefix go first.
 func prefixOf(r *wire.Request, body []byte) string {
-	if r.Model == "" || len(body) < wire.PrefixBytes {
+	if r.Model == "" || len(body) < wire.PrefixHashBytes {
 		return ""
 	}
 	h := xxhash.New()
 	_, _ = h.WriteString(strconv.Quote(r.Model) + strconv.Quote(r.Adapter))
-	_, _ = h.Write(body[:wire.PrefixBytes])
+	_, _ = h.Write(body[:wire.PrefixHashBytes])
 	return strconv.FormatUint(h.Sum64(), 16)
 }
--- a/server/agent/queue.go
+++ b/server/agent/queue.go
@@ -72,17 +72,17 @@
 
 func workOf(r *wire.Request, body []byte, now time.Time) target.Work {
 	return target.Work{
-		ID:        r.Attempt,
-		Workspace: r.Workspace,
-		KeyID:     r.KeyID,
-		Model:     r.Model,
-		Band:      fair.Band(r.Priority),
-		Weight:    r.Weight,
-		Tokens:    r.Tokens,
-		Alone:     r.Alone,
-		Prefix:    prefixOf(r, body),
-		Arrived:   now,
-		Deadline:  now.Add(r.Left),
+		ID:         r.Attempt,
+		Workspace:  r.Workspace,
+		KeyID:      r.KeyID,
+		Model:      r.Model,
+		Band:       fair.Band(r.Priority),
+		Weight:     r.Weight,
+		Tokens:     r.Tokens,
+		Exclusive:  r.Exclusive,
+		PrefixHash: prefixOf(r, body),
+		Arrived:    now,
+		Deadline:   now.Add(r.Timeout),
 	}
 }
 
@@ -123,7 +123,7 @@
 	if neighbours, recorded := q.crashes[attempt]; recorded {
 		return neighbours
 	}
-	ran := q.queue.Crash(q.now())
+	ran := q.queue.TargetCrashed(q.now())
 	for _, work := range ran {
 		q.crashes[work.ID] = len(ran) - 1
 	}
@@ -146,7 +146,7 @@
 	defer q.mu.Unlock()
 	for id := range keys {
 		if !q.barred[id] {
-			q.refuse(q.queue.Withdraw(id))
+			q.refuse(q.queue.RevokeKey(id))
 		}
 	}
 	q.barred = keys
@@ -192,7 +192,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	l := q.queue.Load()
-	return &rpc.LoadReport{Running: uint32(l.Running), Queued: uint32(l.Queued), Limit: uint32(l.Limit), ServiceUs: l.Service.Microseconds()}
+	return &rpc.LoadReport{Running: uint32(l.Running), Queued: uint32(l.Queued), Limit: uint32(l.Limit), ServiceUs: l.ServiceTime.Microseconds()}
 }
 
 // run keeps the deadlines until the context ends.
--- a/server/agent/run.go
+++ b/server/agent/run.go
@@ -35,7 +35,7 @@
 		return
 	}
 	log.Info("attempt failed", "kind", fault.From(err).Kind, "ran", fault.From(err).Ran, "message", fault.From(err).Message)
-	failure := wire.FailureOf(err)
+	failure := wire.FailureFromError(err)
 	failure.Crashed = errors.Is(err, errCrashed)
 	failure.Load = a.load(fault.Is(err, fault.NotHere))
 	if out.Fail(failure) != nil {
@@ -51,13 +51,13 @@
 		return err
 	}
 	defer leave()
-	ctx, cancel := context.WithTimeout(ctx, req.Left)
+	ctx, cancel := context.WithTimeout(ctx, req.Timeout)
 	defer cancel()
 	body, err := readBody(in)
 	if err != nil {
 		return notRun(err)
 	}
-	if err := a.attempts.begin(req.Attempt, a.cfg.Now(), req.Left); err != nil {
+	if err := a.attempts.begin(req.Attempt, a.cfg.Now(), req.Timeout); err != nil {
 		return err
 	}
 	release, err := a.admit(ctx, req, body)
@@ -124,7 +124,7 @@
 	if m := a.memory(); m == nil || !m.alive() {
 		return fault.New(fault.Unavailable, "the target does not answer")
 	}
-	if host := snapshot.AgentOf[a.cfg.Settings.Target]; host != nil && host.Leaving {
+	if host := snapshot.AgentByTarget[a.cfg.Settings.Target]; host != nil && host.Leaving {
 		return fault.New(fault.Leaving, "this target is leaving")
 	}
 	for _, key := range snapshot.Keys {
@@ -214,7 +214,7 @@
 // the call: a connection that has gone silent gives no error by itself.
 func (a *Agent) relay(ctx context.Context, cancel context.CancelCauseFunc, req *wire.Request, reply *Reply, out *wire.Writer) (int64, error) {
 	accepted := &rpc.Accepted{Status: uint32(reply.Status), ContentType: reply.ContentType, Load: a.load(false)}
-	if err := out.Accept(accepted); err != nil {
+	if err := out.WriteAccepted(accepted); err != nil {
 		return 0, gone()
 	}
 	silent := time.AfterFunc(a.cfg.Silence, func() {
--- a/server/agent/waiting_test.go
+++ b/server/agent/waiting_test.go
@@ -109,7 +109,7 @@
 		req, err := http.NewRequest(http.MethodPost, l.server.URL+wire.RunPath, strings.NewReader(body))
 		Expect(err).NotTo(HaveOccurred())
 		head := &wire.Request{Attempt: attempt, ID: attempt, Workspace: "labs", KeyID: "key-of-" + attempt, Class: "interactive",
-			Model: "m1", Adapter: adapter, Path: "/v1/completions", Left: time.Minute, Tokens: 10, Weight: 1}
+			Model: "m1", Adapter: adapter, Path: "/v1/completions", Timeout: time.Minute, Tokens: 10, Weight: 1}
 		head.WriteHeader(req.Header)
 		res, err := http.DefaultClient.Do(req)
 		Expect(err).NotTo(HaveOccurred())
@@ -145,7 +145,7 @@
 		})
 		var last *rpc.Frame
 		Eventually(refused).WithTimeout(generous).Should(Receive(&last))
-		told := wire.ErrorOf(last.GetFailure())
+		told := wire.ErrorFromFailure(last.GetFailure())
 		Expect(fault.From(told).Kind).To(Equal(fault.Unauthenticated))
 		Expect(fault.From(told).Ran).To(Equal(fault.RanNo))
 		Expect(l.queued()).To(Equal(1))
@@ -181,7 +181,7 @@
 		close(l.target.adapter)
 		var last *rpc.Frame
 		Eventually(late).WithTimeout(generous).Should(Receive(&last))
-		Expect(fault.From(wire.ErrorOf(last.GetFailure())).Kind).To(Equal(fault.Unauthenticated))
+		Expect(fault.From(wire.ErrorFromFailure(last.GetFailure())).Kind).To(Equal(fault.Unauthenticated))
 		Expect(l.target.called()).To(Equal([]string{"held"}))
 	})
 
--- a/server/control/calls.go
+++ b/server/control/calls.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, rpc.ToTwirp(err)
 	}
-	if err := state.Err(r); err != nil && !fault.Is(err, fault.AlreadyClaimed) {
+	if err := state.ResultError(r); err != nil && !fault.Is(err, fault.AlreadyClaimed) {
 		return nil, rpc.ToTwirp(err)
 	}
 	return &rpc.ClaimResponse{Granted: granted(r, req.Claim), Claim: r.Claim}, nil
--- a/server/control/deployment.go
+++ b/server/control/deployment.go
@@ -18,7 +18,7 @@
 // Adopt implements rpc.Control. The answer comes after the commit: whoever is told
 // so may lose any tolerated part of the fleet right after it.
 func (c *Role) Adopt(ctx context.Context, req *rpc.AdoptRequest) (*rpc.AdoptResponse, error) {
-	adopt, err := rpc.UnpackAdopt(req)
+	adopt, err := rpc.DecompressAdopt(req)
 	if err != nil {
 		return nil, rpc.ToTwirp(err)
 	}
@@ -78,7 +78,7 @@
 	resp := &rpc.SourceResponse{}
 	c.machine.Read(func(s *state.State) {
 		source := s.DeploymentSource()
-		resp.Source, resp.Packed = source.Bytes, source.Packed
+		resp.Source, resp.Packed = source.Bytes, source.Gzipped
 	})
 	return resp, nil
 }
--- a/server/control/draw.go
+++ b/server/control/draw.go
@@ -144,7 +144,7 @@
 	})
 	switch {
 	case adopted != nil:
-		return deployment.Limits(adopted), hosts, first, adopted.Version
+		return deployment.WorkspaceLimits(adopted), hosts, first, adopted.Version
 	case cfg != nil:
 		return workspace.Limits(cfg), hosts, first, cfg.Revision
 	}
--- a/server/control/inforce.go
+++ b/server/control/inforce.go
@@ -29,14 +29,14 @@
 	for _, s := range c.subscribers.List() {
 		resp.Subscribers = append(resp.Subscribers, &rpc.Subscriber{
 			Caller: c.callerOf(s.ID), Revision: s.Acknowledged,
-			SeenMsAgo: uint32(now.Sub(s.Seen).Milliseconds()), Live: s.Live(now),
+			SeenMsAgo: uint32(now.Sub(s.LastPoll).Milliseconds()), Live: s.LeaseValid(now),
 		})
 	}
 	return resp, nil
 }
 
 // callerOf returns what a subscriber last said of itself. The caller holds mu.
-func (c *Role) callerOf(id fleet.ID) *rpc.Caller {
+func (c *Role) callerOf(id fleet.SubscriberID) *rpc.Caller {
 	if caller, ok := c.callers[id]; ok {
 		return caller
 	}
--- a/server/control/members.go
+++ b/server/control/members.go
@@ -93,5 +93,5 @@
 	}
 	revision, _ := s.role.machine.Revision()
 	s.audit(ctx, p.Actor, "backup", "", nil)
-	return &operators.Backup2{Revision: revision, Snapshot: state.Backup(data)}, nil
+	return &operators.Backup2{Revision: revision, Snapshot: state.EncodeBackup(data)}, nil
 }
--- a/server/control/metrics.go
+++ b/server/control/metrics.go
@@ -22,7 +22,7 @@
 	defer c.mu.Unlock()
 	n := 0
 	for _, s := range c.subscribers.List() {
-		if s.Live(now) {
+		if s.LeaseValid(now) {
 			n++
 		}
 	}
--- a/server/control/open.go
+++ b/server/control/open.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, fault.New(fault.InvalidRequest, "--control-restore: %v", err)
 	}
-	snapshot, err := state.FromBackup(data)
+	snapshot, err := state.SnapshotFromBackup(data)
 	if err != nil {
 		return nil, fault.New(fault.InvalidRequest, "--control-restore %s: %s", path, fault.From(err).Message)
 	}
--- a/server/control/propose.go
+++ b/server/control/propose.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r, state.Err(r)
+	return r, state.ResultError(r)
 }
 
 // elsewhere reports whether another process may yet take the command.
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	return state.Err(r)
+	return state.ResultError(r)
 }
 
 // Forward implements rpc.Control.
--- a/server/control/role.go
+++ b/server/control/role.go
@@ -63,8 +63,8 @@
 
 	mu          sync.Mutex
 	subscribers *fleet.Subscribers
-	callers     map[fleet.ID]*rpc.Caller
-	reports     map[fleet.ID]report
+	callers     map[fleet.SubscriberID]*rpc.Caller
+	reports     map[fleet.SubscriberID]report
 	registering map[string]bool      // by host id
 	seenMembers map[string]time.Time // by address: when it was last a member's
 }
@@ -84,8 +84,8 @@
 		now: config.Now, after: config.After, logger: config.Logger,
 		token: config.Token, closeLog: config.CloseLog, peers: config.Peers,
 		draining:    make(chan struct{}),
-		callers:     map[fleet.ID]*rpc.Caller{},
-		reports:     map[fleet.ID]report{},
+		callers:     map[fleet.SubscriberID]*rpc.Caller{},
+		reports:     map[fleet.SubscriberID]report{},
 		registering: map[string]bool{},
 		seenMembers: map[string]time.Time{},
 	}
@@ -203,10 +203,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.subscribers.Prune(now.Add(-2*silentAfter), now)
-	known := map[fleet.ID]bool{}
+	known := map[fleet.SubscriberID]bool{}
 	for _, s := range c.subscribers.List() {
 		known[s.ID] = true
 	}
-	maps.DeleteFunc(c.callers, func(id fleet.ID, _ *rpc.Caller) bool { return !known[id] })
-	maps.DeleteFunc(c.reports, func(id fleet.ID, _ report) bool { return !known[id] })
+	maps.DeleteFunc(c.callers, func(id fleet.SubscriberID, _ *rpc.Caller) bool { return !known[id] })
+	maps.DeleteFunc(c.reports, func(id fleet.SubscriberID, _ report) bool { return !known[id] })
 }
--- a/server/control/standing.go
+++ b/server/control/standing.go
@@ -6,9 +6,9 @@
 )
 
 // Standing reads how this member stands, for metrics.
-func (c *Role) Standing() metrics.ControlStanding {
+func (c *Role) Standing() metrics.ControlStatus {
 	st := c.log.Status()
-	out := metrics.ControlStanding{
+	out := metrics.ControlStatus{
 		Leading: st.Leading, Term: st.Term, Commit: st.Commit, Applied: st.Applied,
 		Members: len(st.Members), Replicas: map[string]int{},
 	}
--- a/server/control/sync.go
+++ b/server/control/sync.go
@@ -41,14 +41,14 @@
 
 // admit refuses callers that a newer start of the same process superseded, and
 // registers those that are new.
-func (c *Role) admit(caller *rpc.Caller) (fleet.ID, error) {
+func (c *Role) admit(caller *rpc.Caller) (fleet.SubscriberID, error) {
 	if caller == nil || caller.Host == "" || caller.Incarnation == "" {
-		return fleet.ID{}, fault.New(fault.InvalidRequest, "the caller does not say who it is")
+		return fleet.SubscriberID{}, fault.New(fault.InvalidRequest, "the caller does not say who it is")
 	}
 	if c.stopping.Load() {
-		return fleet.ID{}, fault.New(fault.Leaving, "this control process is shutting down")
+		return fleet.SubscriberID{}, fault.New(fault.Leaving, "this control process is shutting down")
 	}
-	id := fleet.ID{Host: caller.Host, Role: caller.Role, Incarnation: caller.Incarnation}
+	id := fleet.SubscriberID{Host: caller.Host, Role: caller.Role, Incarnation: caller.Incarnation}
 	if c.superseded(caller) {
 		return id, fault.New(fault.Fenced, "host %q was restarted since incarnation %q", caller.Host, caller.Incarnation)
 	}
@@ -105,10 +105,10 @@
 	return err
 }
 
-func (c *Role) noteSeen(id fleet.ID, req *rpc.SyncRequest, received time.Time) {
+func (c *Role) noteSeen(id fleet.SubscriberID, req *rpc.SyncRequest, received time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.subscribers.Seen(id, req.Since, received)
+	c.subscribers.RecordPoll(id, req.Since, received)
 	c.callers[id] = req.Caller
 	if req.Report != nil {
 		c.reports[id] = report{caller: req.Caller, report: req.Report, at: received}
@@ -161,10 +161,10 @@
 // was granted later, and the view that goes with it was read later still, so that
 // it holds the revision. The other way round, a lease on an older view could be
 // noted just after it was found that none is left.
-func (c *Role) answer(id fleet.ID, req *rpc.SyncRequest, received time.Time) *rpc.SyncResponse {
+func (c *Role) answer(id fleet.SubscriberID, req *rpc.SyncRequest, received time.Time) *rpc.SyncResponse {
 	tell, until := c.leaseFor(received, c.reads.last())
 	c.mu.Lock()
-	c.subscribers.Grant(id, until)
+	c.subscribers.RecordLease(id, until)
 	c.mu.Unlock()
 	st := c.log.Status()
 	return &rpc.SyncResponse{
--- a/server/control/unfollowing.go
+++ b/server/control/unfollowing.go
@@ -36,7 +36,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.subscribers.List() {
-		out[subscriberID(s.ID.Host, s.ID.Role, s.ID.Incarnation)] = now.Sub(s.Seen) < polledWithin
+		out[subscriberID(s.ID.Host, s.ID.Role, s.ID.Incarnation)] = now.Sub(s.LastPoll) < polledWithin
 	}
 	return out
 }
--- a/server/daemon/discovery_test.go
+++ b/server/daemon/discovery_test.go
@@ -36,7 +36,7 @@
 	for i := range members + others {
 		ip := netip.AddrFrom4([4]byte{127, 0, network, byte(i + 1)}).String()
 		h := &testHost{settings: platform.Process{
-			Host: fmt.Sprintf("host-%d", i+1), FailureDomain: "a", IP: ip, InternalPort: f.port, Tolerated: members / 2,
+			Host: fmt.Sprintf("host-%d", i+1), FailureDomain: "a", IP: ip, InternalPort: f.port, FaultTolerance: members / 2,
 			Bounds: platform.Bounds{Grace: 2 * time.Second, Revoke: 5 * time.Second, StoreWindow: 5 * time.Second},
 		}}
 		if i < members {
--- a/server/daemon/metrics_test.go
+++ b/server/daemon/metrics_test.go
@@ -47,7 +47,7 @@
 		n := names{map[string]bool{}}
 		metrics.NewEntry(n, func() float64 { return 0 }, func() float64 { return 0 })
 		metrics.NewAgent(n)
-		metrics.RegisterControl(n, func() metrics.ControlStanding { return metrics.ControlStanding{} })
+		metrics.RegisterControl(n, func() metrics.ControlStatus { return metrics.ControlStatus{} })
 		metrics.NewLeases(n, func() float64 { return 0 }, func() float64 { return 0 })
 		page, err := os.ReadFile("../../docs/operators/metrics.md")
 		Expect(err).NotTo(HaveOccurred())
--- a/server/daemon/platform.go
+++ b/server/daemon/platform.go
@@ -106,7 +106,7 @@
 	}
 	b.client = process.Client(b.secret)
 	b.caller = &rpc.Caller{
-		Host: p.Host, Incarnation: uuid.NewString(), Address: p.Internal(p.IP), FailureDomain: p.FailureDomain,
+		Host: p.Host, Incarnation: uuid.NewString(), Address: p.InternalAddress(p.IP), FailureDomain: p.FailureDomain,
 		Role: settings.RoleEntry,
 	}
 	if p.TargetAddress != "" {
@@ -146,7 +146,7 @@
 	}
 	roles = append(roles, &following{name: "view", follower: b.follower}, b.controlRole())
 	runner := &process.Runner{
-		InternalAddress: b.process.Internal(b.process.IP),
+		InternalAddress: b.process.InternalAddress(b.process.IP),
 		HealthAddress:   b.metricsAddress(),
 		DrainTimeout:    b.process.Bounds.Grace - logFlush,
 		Secret:          b.secret, Roles: roles, Registry: b.registry, Log: b.log,
@@ -161,7 +161,7 @@
 	if b.metricsPort == 0 {
 		return ""
 	}
-	if b.process.Listens(int(b.metricsPort)) {
+	if b.process.UsesPort(int(b.metricsPort)) {
 		b.log.Warn("metrics are not served, their port is another listener's", "port", b.metricsPort)
 		return ""
 	}
@@ -185,7 +185,7 @@
 		Caller: b.caller, Source: b.follower, Board: b.boards.Current,
 		Target:  &platform.Target{Address: b.process.TargetAddress, Client: plainClient()},
 		Service: b.process.TargetService, Fencing: stewardFencing,
-		Events: b.events, Log: b.log.Named("steward"), Now: time.Now, Internal: b.process.Internal(b.process.IP),
+		Events: b.events, Log: b.log.Named("steward"), Now: time.Now, Internal: b.process.InternalAddress(b.process.IP),
 	})
 }
 
@@ -202,12 +202,12 @@
 	c := &platformControl{builder: b}
 	if b.process.DataFolder != "" {
 		b.member = member.New(member.Config{
-			Settings: b.controlSettings(), Folder: b.process.DataFolder, Address: b.process.Internal(b.process.IP),
-			Seeds: b.seeds(), FirstStart: b.process.FirstStart, Tolerated: b.process.Tolerated, Secret: b.secret,
-			Locate: b.locate, Known: func() []string { return append(b.seeds(), b.follower.Addresses()...) },
+			Settings: b.controlSettings(), Folder: b.process.DataFolder, Address: b.process.InternalAddress(b.process.IP),
+			Seeds: b.seeds(), FirstStart: b.process.FirstStart, FaultTolerance: b.process.FaultTolerance, Secret: b.secret,
+			Locate: b.locate, ControlAddresses: func() []string { return append(b.seeds(), b.follower.Addresses()...) },
 			Control: b.control, Log: b.log.Named("control"),
 		})
-		list := &platform.List{Address: b.process.ListAddress, Client: plainClient(), Turn: listTurn(b.process.ListRate)}
+		list := &platform.List{Address: b.process.ListAddress, Client: plainClient(), Wait: listTurn(b.process.ListRate)}
 		b.board = board.New(board.Config{
 			Leading: c.leading, Deployment: c.deployment, StoreWindow: b.process.Bounds.StoreWindow,
 			List: func(ctx context.Context) ([]targetstatus.Status, int, error) { return readList(ctx, list) },
@@ -242,7 +242,7 @@
 	for _, t := range targets {
 		s := targetstatus.Status{
 			Instance: t.Instance, Service: t.Service, Address: t.Address, FailureDomain: t.FailureDomain,
-			Slots: t.Slots, Draining: t.Draining, StartedUnixMs: t.BornUnixMs,
+			Slots: t.Slots, Draining: t.Draining, StartedUnixMs: t.StartedUnixMs,
 		}
 		for _, m := range t.Models {
 			s.Models = append(s.Models, targetstatus.HeldModel{Name: m.Name, Adapters: m.Adapters})
@@ -255,7 +255,7 @@
 func (b *platformBuilder) controlSettings() settings.Options {
 	o := settings.Options{}
 	o.Common.Host, o.Common.FailureDomain = b.process.Host, b.process.FailureDomain
-	o.Common.InternalAddress = b.process.Internal(b.process.IP)
+	o.Common.InternalAddress = b.process.InternalAddress(b.process.IP)
 	o.Control.Tick, o.Control.PrivateDisk = controlTick, true
 	o.Control.Freshness = time.Duration(freshnessShare * float64(b.process.Bounds.Revoke))
 	return o
@@ -267,7 +267,7 @@
 	defer b.mu.Unlock()
 	var out []string
 	for _, ip := range b.process.Seeds {
-		out = append(out, b.process.Internal(ip))
+		out = append(out, b.process.InternalAddress(ip))
 	}
 	return out
 }
--- a/server/daemon/platform_control.go
+++ b/server/daemon/platform_control.go
@@ -75,17 +75,17 @@
 
 func (b *platformBuilder) finder() *discovery.Finder {
 	return discovery.NewFinder(discovery.FinderConfig{
-		Seeds: b.seeds, Locate: b.locate, Suggest: b.follower.Suggest, Known: b.follower.Addresses,
-		Members: func() []string { return b.group().Addresses },
-		Follows: func() bool { return b.follower.Fresh(time.Now()) },
-		Silent:  func(seed string, err error) { b.log.Debug("a seed does not answer", "seed", seed, "error", err) },
-		Events:  b.events, Registry: b.registry, Now: time.Now,
+		Seeds: b.seeds, Locate: b.locate, Suggest: b.follower.Suggest, KnownControl: b.follower.Addresses,
+		Members:       func() []string { return b.group().Addresses },
+		Follows:       func() bool { return b.follower.Fresh(time.Now()) },
+		OnLocateError: func(seed string, err error) { b.log.Debug("a seed does not answer", "seed", seed, "error", err) },
+		Events:        b.events, Registry: b.registry, Now: time.Now,
 	})
 }
 
 func (b *platformBuilder) announcer() *discovery.Announcer {
 	return discovery.NewAnnouncer(discovery.AnnouncerConfig{
-		Own: b.process.Internal(b.process.IP), Seeds: b.seeds, Audience: b.audience, Announce: b.announce, Now: time.Now,
+		OwnAddress: b.process.InternalAddress(b.process.IP), Seeds: b.seeds, Recipients: b.audience, Announce: b.announce, Now: time.Now,
 	})
 }
 
@@ -143,10 +143,10 @@
 
 func (o operator) adopt(ctx context.Context, d *coordpb.Deployment, source []byte) error {
 	a := &coordpb.AdoptDeployment{Deployment: d, Source: source}
-	if len(source) >= pack.Above {
-		a.Source, a.SourcePacked = pack.Fast(source), true
+	if len(source) >= pack.MinSize {
+		a.Source, a.SourcePacked = pack.CompressFast(source), true
 	}
-	request, err := rpc.PackAdopt(a)
+	request, err := rpc.CompressAdopt(a)
 	if err != nil {
 		return err
 	}
@@ -154,8 +154,8 @@
 	return rpc.FromTwirp(err)
 }
 
-// Source implements platform.Operator.
-func (o operator) Source(ctx context.Context) ([]byte, error) {
+// Document implements platform.Operator.
+func (o operator) Document(ctx context.Context) ([]byte, error) {
 	start := time.Now()
 	source, err := o.source(ctx)
 	o.events.DeploymentRead(len(source), time.Since(start), err)
@@ -171,7 +171,7 @@
 		return nil, fault.New(fault.Unavailable, "no deployment was adopted yet")
 	}
 	if resp.Packed {
-		return pack.Unpack(resp.Source, rpc.MaxAdoptBytes)
+		return pack.Decompress(resp.Source, rpc.MaxDeploymentBytes)
 	}
 	return resp.Source, nil
 }
--- a/server/daemon/platform_seeds.go
+++ b/server/daemon/platform_seeds.go
@@ -46,13 +46,13 @@
 
 // audience returns whom the control member of this process announces itself to: nobody
 // while it cannot serve followers.
-func (b *platformBuilder) audience() discovery.Audience {
+func (b *platformBuilder) audience() discovery.Recipients {
 	role := b.controlMember()
 	if role == nil || role.Ready() != nil {
-		return discovery.Audience{}
+		return discovery.Recipients{}
 	}
 	st := role.Status()
-	a := discovery.Audience{Processes: role.Unfollowing()}
+	a := discovery.Recipients{Processes: role.Unfollowing()}
 	for _, m := range st.Members {
 		a.Control = append(a.Control, m.Address)
 		if m.Id == st.ID || answers(st, m.Id) {
@@ -64,7 +64,7 @@
 
 // answers reports whether this member leads and has heard of another one lately.
 func answers(st node.Status, id uint64) bool {
-	return st.Leading && st.Heard[id] && st.Silent[id] < fleet.AnswersWithin
+	return st.Leading && st.Heard[id] && st.Silent[id] < fleet.MaxAnsweringSilence
 }
 
 // controlMember returns the control role that runs now; nil where none does.
@@ -113,7 +113,7 @@
 	}
 	now := b.process.Seeds
 	b.mu.Unlock()
-	b.events.Reloaded(cause, before, now, err)
+	b.events.SettingsReloaded(cause, before, now, err)
 }
 
 func modified(path string) time.Time {
--- a/server/dial/dial_test.go
+++ b/server/dial/dial_test.go
@@ -40,12 +40,12 @@
 func TestOpensAgainWhereTheFirstPacketWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeHost{started: time.Now(), up: 400 * time.Millisecond}
-		c, err := dial.Again(o.dial, time.Second)(context.Background(), "tcp4", "10.0.0.1:1")
+		c, err := dial.WithRetry(o.dial, time.Second)(context.Background(), "tcp4", "10.0.0.1:1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = c.Close()
-		if took := time.Since(o.started); took > 2*dial.FirstAnswer {
+		if took := time.Since(o.started); took > 2*dial.AttemptTimeout {
 			t.Errorf("it took %v", took)
 		}
 	})
@@ -54,7 +54,7 @@
 func TestGivesUpAfterItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeHost{started: time.Now(), up: time.Hour}
-		if _, err := dial.Again(o.dial, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
+		if _, err := dial.WithRetry(o.dial, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
 			t.Error("dialing a host that never responds succeeded")
 		}
 		if took := time.Since(o.started); took != time.Second {
@@ -63,7 +63,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		if _, err := dial.Again(o.dial, time.Second)(ctx, "tcp4", "10.0.0.1:1"); err == nil || time.Since(began) != 100*time.Millisecond {
+		if _, err := dial.WithRetry(o.dial, time.Second)(ctx, "tcp4", "10.0.0.1:1"); err == nil || time.Since(began) != 100*time.Millisecond {
 			t.Errorf("the caller's deadline was not kept: got error %v after %v", err, time.Since(began))
 		}
 	})
@@ -81,7 +81,7 @@
 			}
 			return nil, syscall.ETIMEDOUT
 		}
-		if _, err := dial.Again(dialFunc, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
+		if _, err := dial.WithRetry(dialFunc, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
 			t.Error("no error")
 		}
 		if attempts != 1 {
@@ -93,7 +93,7 @@
 func TestTakesARefusalForAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeHost{started: time.Now(), refuses: true}
-		if _, err := dial.Again(o.dial, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
+		if _, err := dial.WithRetry(o.dial, time.Second)(context.Background(), "tcp4", "10.0.0.1:1"); err == nil {
 			t.Error("no error")
 		}
 		if o.attempts != 1 || time.Since(o.started) != 0 {
--- a/server/discovery/announcer.go
+++ b/server/discovery/announcer.go
@@ -19,8 +19,8 @@
 	maxInFlight = 64
 )
 
-// Audience holds the addresses that an announcement contains and those it is sent to.
-type Audience struct {
+// Recipients holds the addresses that an announcement contains and those it is sent to.
+type Recipients struct {
 	Control   []string // addresses of the control group's members; empty: this process announces nothing
 	Answering []string // the subset of Control that is known to answer
 	Processes []string // registered processes that do not follow this process
@@ -28,11 +28,11 @@
 
 // AnnouncerConfig configures an Announcer.
 type AnnouncerConfig struct {
-	Own      string // internal address of this process
-	Seeds    func() []string
-	Audience func() Audience
-	Announce func(ctx context.Context, address string, r *rpc.AnnounceRequest) (*rpc.AnnounceResponse, error)
-	Now      func() time.Time
+	OwnAddress string // internal address of this process
+	Seeds      func() []string
+	Recipients func() Recipients
+	Announce   func(ctx context.Context, address string, r *rpc.AnnounceRequest) (*rpc.AnnounceResponse, error)
+	Now        func() time.Time
 }
 
 // Announcer announces this process's control member to processes that may search for it.
@@ -66,12 +66,12 @@
 }
 
 func (a *Announcer) round(ctx context.Context) {
-	audience := a.config.Audience()
+	audience := a.config.Recipients()
 	if len(audience.Control) == 0 {
 		a.clearRecipients()
 		return
 	}
-	request := &rpc.AnnounceRequest{Address: a.config.Own, ControlAddresses: audience.Control, Answering: audience.Answering}
+	request := &rpc.AnnounceRequest{Address: a.config.OwnAddress, ControlAddresses: audience.Control, Answering: audience.Answering}
 	for _, address := range a.due(audience) {
 		a.running.Go(func() { a.announce(ctx, address, request) })
 	}
@@ -82,19 +82,19 @@
 func (a *Announcer) clearRecipients() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.schedule.SetAudience(nil, nil, a.config.Now())
+	a.schedule.SetRecipients(nil, nil, a.config.Now())
 }
 
 // due returns the recipients of this round. It excludes the members of the control group,
 // which learn the group's members from the replicated log.
-func (a *Announcer) due(audience Audience) []string {
-	member := func(addr string) bool { return addr == a.config.Own || slices.Contains(audience.Control, addr) }
+func (a *Announcer) due(audience Recipients) []string {
+	member := func(addr string) bool { return addr == a.config.OwnAddress || slices.Contains(audience.Control, addr) }
 	seeds := slices.DeleteFunc(a.config.Seeds(), member)
 	processes := slices.DeleteFunc(audience.Processes, member)
 	now := a.config.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.schedule.SetAudience(seeds, processes, now)
+	a.schedule.SetRecipients(seeds, processes, now)
 	due := a.schedule.Due(now, maxInFlight-a.inFlight)
 	a.inFlight += len(due)
 	return due
--- a/server/discovery/directory.go
+++ b/server/discovery/directory.go
@@ -59,7 +59,7 @@
 func (d *Directory) Announce(_ context.Context, r *rpc.AnnounceRequest) (*rpc.AnnounceResponse, error) {
 	now := d.now()
 	d.mu.Lock()
-	d.announcements.Note(r.Address, r.ControlAddresses, now)
+	d.announcements.Record(r.Address, r.ControlAddresses, now)
 	d.mu.Unlock()
 	follows := d.follower.Fresh(now)
 	if !follows && len(r.Answering) > 0 {
--- a/server/discovery/finder.go
+++ b/server/discovery/finder.go
@@ -26,16 +26,16 @@
 // FinderConfig configures a Finder. Its functions are called concurrently from several
 // goroutines.
 type FinderConfig struct {
-	Seeds    func() []string // internal addresses in the current settings
-	Locate   func(ctx context.Context, seed string) (*rpc.LocateResponse, error)
-	Members  func() []string              // of the control group, if a member runs in this process
-	Suggest  func(addresses []string)     // receives the addresses that were found
-	Known    func() []string              // addresses of the known control processes
-	Follows  func() bool                  // whether this process follows control
-	Silent   func(seed string, err error) // called when a query of a seed fails
-	Events   *events.Log
-	Registry prometheus.Registerer // nil: no metrics
-	Now      func() time.Time
+	Seeds         func() []string // internal addresses in the current settings
+	Locate        func(ctx context.Context, seed string) (*rpc.LocateResponse, error)
+	Members       func() []string              // of the control group, if a member runs in this process
+	Suggest       func(addresses []string)     // receives the addresses that were found
+	KnownControl  func() []string              // addresses of the known control processes
+	Follows       func() bool                  // whether this process follows control
+	OnLocateError func(seed string, err error) // called when a query of a seed fails
+	Events        *events.Log
+	Registry      prometheus.Registerer // nil: no metrics
+	Now           func() time.Time
 }
 
 // Finder queries the seeds for the addresses of the control processes.
@@ -83,7 +83,7 @@
 	if f.config.Follows() || ctx.Err() != nil {
 		return
 	}
-	if len(f.config.Known()) == 0 {
+	if len(f.config.KnownControl()) == 0 {
 		f.failedRounds.Inc()
 	}
 	if unknown := f.config.Now().Sub(f.searchingSince); unknown >= notFoundAfter && !f.notFoundLogged {
@@ -94,7 +94,7 @@
 
 func (f *Finder) endSearch() {
 	if f.notFoundLogged {
-		f.config.Events.ControlFound(f.config.Known(), f.config.Now().Sub(f.searchingSince))
+		f.config.Events.ControlFound(f.config.KnownControl(), f.config.Now().Sub(f.searchingSince))
 	}
 	f.searchingSince, f.notFoundLogged = time.Time{}, false
 }
@@ -118,7 +118,7 @@
 func (f *Finder) askSeed(ctx context.Context, seed string) bool {
 	resp, err := f.config.Locate(ctx, seed)
 	if err != nil {
-		f.config.Silent(seed, err)
+		f.config.OnLocateError(seed, err)
 		return false
 	}
 	addresses := resp.ControlAddresses
--- a/server/discovery/finder_test.go
+++ b/server/discovery/finder_test.go
@@ -25,9 +25,9 @@
 				}
 				return &rpc.LocateResponse{Disk: true, ControlAddresses: []string{"d"}}, nil
 			},
-			Suggest: func(addresses []string) { learned, at = addresses, time.Since(began) },
-			Silent:  func(string, error) { silent.Add(1) },
-			Now:     time.Now,
+			Suggest:       func(addresses []string) { learned, at = addresses, time.Since(began) },
+			OnLocateError: func(string, error) { silent.Add(1) },
+			Now:           time.Now,
 		})
 		answered := f.askSeeds(context.Background(), []string{"a", "b", "c"})
 		if len(learned) != 2 || at != 0 || answered != 1 {
--- a/server/entry/attempt.go
+++ b/server/entry/attempt.go
@@ -86,10 +86,10 @@
 		Call:        c.key,
 		Fingerprint: c.fingerprint,
 		ContentType: c.contentType,
-		Left:        c.deadline.Sub(e.cfg.Now()),
+		Timeout:     c.deadline.Sub(e.cfg.Now()),
 		Tokens:      c.tokens,
 		Weight:      c.workspace.Rate,
-		Alone:       c.alone,
+		Exclusive:   c.alone,
 	}
 }
 
@@ -190,7 +190,7 @@
 func (e agentError) Unwrap() error { return e.error }
 
 func failureError(f *rpc.Failure) error {
-	return agentError{error: wire.ErrorOf(f), failure: f}
+	return agentError{error: wire.ErrorFromFailure(f), failure: f}
 }
 
 // crashed reports whether the target died while the attempt ran there.
--- a/server/entry/call.go
+++ b/server/entry/call.go
@@ -117,7 +117,7 @@
 	if err := json.Unmarshal(c.body, &asked); err != nil {
 		return nil, fault.New(fault.InvalidRequest, "the body is not the customary JSON object")
 	}
-	model, adapter, ok := snapshot.Configuration.BaseOf(asked.Model)
+	model, adapter, ok := snapshot.Configuration.ResolveModel(asked.Model)
 	if !ok || !c.workspace.MayUseModel(asked.Model) {
 		return nil, fault.New(fault.NotFound, "the workspace has no model of this name")
 	}
--- a/server/entry/control_test.go
+++ b/server/entry/control_test.go
@@ -51,7 +51,7 @@
 			Configuration: config.Generate(q, 1),
 			Keys:          map[view.Digest]*coordpb.Key{},
 			Hosts:         map[string]*coordpb.Host{},
-			AgentOf:       map[string]*coordpb.Host{},
+			AgentByTarget: map[string]*coordpb.Host{},
 			Replicas:      map[string][]*coordpb.Replica{},
 			Strikes:       map[string]*coordpb.Strikes{},
 		},
@@ -88,7 +88,7 @@
 	next := *c.snapshot
 	next.Revision++
 	next.Keys = cloned(next.Keys)
-	next.AgentOf = cloned(next.AgentOf)
+	next.AgentByTarget = cloned(next.AgentByTarget)
 	next.Replicas = map[string][]*coordpb.Replica{}
 	for model, replicas := range c.snapshot.Replicas {
 		for _, r := range replicas {
--- a/server/entry/entry.go
+++ b/server/entry/entry.go
@@ -134,7 +134,7 @@
 
 // Ready implements process.Role.
 func (e *Entry) Ready() error {
-	if e.work.Leaving() {
+	if e.work.Draining() {
 		return fault.New(fault.Leaving, "the entry host is leaving")
 	}
 	_, err := e.freshView()
--- a/server/entry/failures_test.go
+++ b/server/entry/failures_test.go
@@ -77,7 +77,7 @@
 	// still until its deadline.
 	It("ends a stream whose connection has gone silent", func() {
 		f := newFleet(1, "engine-1")
-		between := newProxy(f.control.Current().AgentOf["engine-1"].Address)
+		between := newProxy(f.control.Current().AgentByTarget["engine-1"].Address)
 		f.setAgent("engine-1", between.address())
 		f.load("m1", "engine-1")
 		f.targets["engine-1"].SetFaults(slow)
@@ -244,7 +244,7 @@
 		mux.HandleFunc("POST "+wire.RunPath, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			out := wire.NewWriter("another", w, http.NewResponseController(w).Flush)
-			_ = out.Accept(&rpc.Accepted{Status: 200, ContentType: "application/json"})
+			_ = out.WriteAccepted(&rpc.Accepted{Status: 200, ContentType: "application/json"})
 			_, _ = out.Write([]byte(`{"for":"another"}`))
 			_ = out.End(&rpc.End{})
 		})
--- a/server/entry/fleet_test.go
+++ b/server/entry/fleet_test.go
@@ -151,7 +151,7 @@
 // setAgent tells the entry hosts where a target's agent is.
 func (f *fleet) setAgent(target, address string) {
 	f.control.change(func(s *view.Snapshot) {
-		s.AgentOf[target] = &coordpb.Host{Host: "host-" + target, Role: "agent", Target: target, Address: address}
+		s.AgentByTarget[target] = &coordpb.Host{Host: "host-" + target, Role: "agent", Target: target, Address: address}
 	})
 }
 
--- a/server/entry/once_test.go
+++ b/server/entry/once_test.go
@@ -105,7 +105,7 @@
 	// next confirmation would go into it, and its driver be told "unknown".
 	It("does not go first on a connection that has gone silent", func() {
 		f := newFleet(1, "portal-1")
-		between := newProxy(f.control.Current().AgentOf["portal-1"].Address)
+		between := newProxy(f.control.Current().AgentByTarget["portal-1"].Address)
 		f.setAgent("portal-1", between.address())
 		Expect(f.send(confirmation(0, "warm")).status).To(Equal(http.StatusOK))
 		between.silence()
@@ -179,9 +179,9 @@
 		digest := sha256.Sum256([]byte(labsKey))
 		key := f.control.Current().Keys[view.Digest(digest)]
 		head := &wire.Request{Attempt: "a-1", ID: "a", Workspace: "labs", KeyID: key.KeyId, Class: "confirmation",
-			Service: "portal", Path: "/manifests/confirm", Call: "once-17", Left: 10 * time.Second}
+			Service: "portal", Path: "/manifests/confirm", Call: "once-17", Timeout: 10 * time.Second}
 		for range 2 {
-			req, err := http.NewRequest(http.MethodPost, "http://"+f.control.Current().AgentOf["portal-1"].Address+wire.RunPath, http.NoBody)
+			req, err := http.NewRequest(http.MethodPost, "http://"+f.control.Current().AgentByTarget["portal-1"].Address+wire.RunPath, http.NoBody)
 			Expect(err).NotTo(HaveOccurred())
 			head.WriteHeader(req.Header)
 			res, err := f.client.Do(req)
--- a/server/entry/probe.go
+++ b/server/entry/probe.go
@@ -30,7 +30,7 @@
 }
 
 func (e *Entry) probe(ctx context.Context, agent *coordpb.Host) error {
-	ctx, cancel := context.WithTimeout(ctx, process.SilenceBound)
+	ctx, cancel := context.WithTimeout(ctx, process.DeadConnectionTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+agent.Address+wire.ProbePath, nil)
 	if err != nil {
--- a/server/entry/routes.go
+++ b/server/entry/routes.go
@@ -51,7 +51,7 @@
 	if !ok {
 		return nil
 	}
-	return snapshot.AgentOf[target]
+	return snapshot.AgentByTarget[target]
 }
 
 func (r *routes) started(target string, q routing.Request) {
@@ -110,8 +110,8 @@
 // request describes a call to the router.
 func routeOf(c *call, exclude []string) routing.Request {
 	q := routing.Request{Name: destinationOf(c), Adapter: c.adapter, Exclude: exclude, NoProbe: !c.class.Repeatable}
-	if c.model != "" && len(c.body) >= wire.PrefixBytes {
-		q.PrefixHash = xxhash.Sum64(c.body[:wire.PrefixBytes])
+	if c.model != "" && len(c.body) >= wire.PrefixHashBytes {
+		q.PrefixHash = xxhash.Sum64(c.body[:wire.PrefixHashBytes])
 	}
 	return q
 }
@@ -127,7 +127,7 @@
 func routingView(snapshot *view.Snapshot) routing.View {
 	v := routing.View{Targets: map[string]routing.TargetView{}, Serving: map[string][]routing.Replica{}}
 	for name, spec := range snapshot.Configuration.Targets {
-		agent := snapshot.AgentOf[name]
+		agent := snapshot.AgentByTarget[name]
 		if agent == nil {
 			continue
 		}
--- a/server/entry/traffic_test.go
+++ b/server/entry/traffic_test.go
@@ -119,7 +119,7 @@
 		f := newFleet(2, "engine-1", "engine-2", "portal-1", "portal-2")
 		var between []*proxy
 		for name := range f.targets {
-			p := newProxy(f.control.Current().AgentOf[name].Address)
+			p := newProxy(f.control.Current().AgentByTarget[name].Address)
 			f.setAgent(name, p.address())
 			between = append(between, p)
 		}
--- a/server/events/belief.go
+++ b/server/events/belief.go
@@ -14,9 +14,9 @@
 	l.emit("deployment_followed", "version", version, "revision", revision)
 }
 
-// TargetSeen logs a change of a target that affects routing. age is the age of the
+// TargetChanged logs a change of a target that affects routing. age is the age of the
 // target list that reported it.
-func (l *Log) TargetSeen(instance, service, address string, draining, gone bool, age time.Duration) {
+func (l *Log) TargetChanged(instance, service, address string, draining, gone bool, age time.Duration) {
 	l.emit("target_changed", "target", instance, "service", service, "address", address, "draining", draining,
 		"gone", gone, "list_age_ms", age.Milliseconds())
 }
@@ -36,9 +36,9 @@
 	l.logger.Info("started", "host", host, "failure_domain", failureDomain, "first_start", firstStart, "roles", roles, "seeds", seeds)
 }
 
-// Reloaded logs a reload of the settings: its cause, the seeds before it, the seeds in
+// SettingsReloaded logs a reload of the settings: its cause, the seeds before it, the seeds in
 // use after it, and the error if it failed.
-func (l *Log) Reloaded(cause string, before, seeds []string, err error) {
+func (l *Log) SettingsReloaded(cause string, before, seeds []string, err error) {
 	l.logger.Info("settings_reloaded", "cause", cause, "seeds_before", before, "seeds", seeds, "error", err)
 }
 
--- a/server/events/events_test.go
+++ b/server/events/events_test.go
@@ -82,11 +82,11 @@
 	// time from the requests that can still be served.
 	It("limits the rate of lines, and reports how many it skipped", func() {
 		for i := range 5000 {
-			log.RequestEnded(events.Ended{Request: fmt.Sprint(i), Kind: fault.Overloaded})
+			log.RequestEnded(events.RequestSummary{Request: fmt.Sprint(i), Kind: fault.Overloaded})
 		}
 		Expect(strings.Count(out.String(), "\n")).To(Equal(300))
 		now = now.Add(time.Second)
-		log.RequestEnded(events.Ended{Request: "later", Kind: fault.Overloaded})
+		log.RequestEnded(events.RequestSummary{Request: "later", Kind: fault.Overloaded})
 		Expect(out.String()).To(ContainSubstring(`"skipped_lines":4700`))
 	})
 
@@ -98,7 +98,7 @@
 				n++
 			}
 			now = now.Add(time.Second)
-			log.RequestEnded(events.Ended{Request: id})
+			log.RequestEnded(events.RequestSummary{Request: id})
 		}
 		Expect(n).To(BeNumerically("~", 100, 40))
 		Expect(strings.Count(out.String(), "\n")).To(Equal(n))
--- a/server/events/request.go
+++ b/server/events/request.go
@@ -6,9 +6,9 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Ended holds the fields of the event request_ended, the last line of a request at its
+// RequestSummary holds the fields of the event request_ended, the last line of a request at its
 // entry host.
-type Ended struct {
+type RequestSummary struct {
 	Request    string
 	Route      string
 	Service    string
@@ -21,7 +21,7 @@
 	Target     string // target that answered, or the last one that was tried
 	Attempts   int
 	Took       time.Duration
-	First      time.Duration // time to the first byte of the response; 0: no response
+	FirstByte  time.Duration // time to the first byte of the response; 0: no response
 	RetryAfter time.Duration
 	Version    uint64 // version of the deployment that the request was handled with
 	Tokens     int64  // tokens charged to the workspace's rate limit, or requested from it
@@ -30,13 +30,13 @@
 }
 
 // RequestEnded logs the result of a request. Served requests are sampled.
-func (l *Log) RequestEnded(e Ended) {
+func (l *Log) RequestEnded(e RequestSummary) {
 	if e.Kind == "" && !Sampled(e.Request) {
 		return
 	}
 	l.emit("request_ended", "request", e.Request, "route", e.Route, "service", e.Service, "workspace", e.Workspace,
 		"model", e.Model, "status", e.Status, "kind", string(e.Kind), "cause", e.Cause, "ran", string(e.Ran),
-		"target", e.Target, "attempts", e.Attempts, "took_ms", e.Took.Milliseconds(), "first_ms", e.First.Milliseconds(),
+		"target", e.Target, "attempts", e.Attempts, "took_ms", e.Took.Milliseconds(), "first_ms", e.FirstByte.Milliseconds(),
 		"retry_after_ms", e.RetryAfter.Milliseconds(), "deployment", e.Version, "tokens", e.Tokens, "rate", e.Rate, "board_age_ms", e.ViewAge.Milliseconds())
 }
 
--- a/server/failover/control.go
+++ b/server/failover/control.go
@@ -24,7 +24,7 @@
 // transfer over the slowest supported link: a large request must not time out, and be sent
 // again, during the transfer.
 func attemptTimeoutFor(call proto.Message) time.Duration {
-	return attemptTimeout + time.Duration(proto.Size(call))*time.Second/process.SlowestLink
+	return attemptTimeout + time.Duration(proto.Size(call))*time.Second/process.MinLinkBytesPerSecond
 }
 
 // Peers provides the current control processes and their leader.
--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -32,7 +32,7 @@
 	deadline  time.Time
 	attempts  *request.Call
 	tokens    int64
-	ended     events.Ended
+	ended     events.RequestSummary
 	// retryExpected says that a target will load the model for the caller's retry.
 	retryExpected bool
 }
@@ -47,7 +47,7 @@
 	if !c.route.Streaming {
 		return c.deadline.Sub(c.start)
 	}
-	return min(deployment.Patience(c.route), c.deadline.Sub(c.start))
+	return min(deployment.EventTimeout(c.route), c.deadline.Sub(c.start))
 }
 
 // rank is the call's urgency, 0 first.
@@ -93,7 +93,7 @@
 	}
 	c.ended.Route = c.route.Name
 	if c.index.NeedsKey(c.route) {
-		c.workspace = c.index.Holder(c.Key)
+		c.workspace = c.index.WorkspaceFor(c.Key)
 		if c.workspace == nil {
 			return c, fault.New(fault.Unauthenticated, "no workspace holds this key")
 		}
@@ -175,8 +175,8 @@
 	switch {
 	case c.workspace.PerCall:
 		c.tokens = 1
-	case c.Counted:
-		c.tokens = c.PromptIn + c.GenerateMax
+	case c.HasTokenCounts:
+		c.tokens = c.PromptTokens + c.MaxOutputTokens
 	default:
 		c.tokens = c.workspace.DefaultTokens
 	}
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -107,7 +107,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			g.pool.Sweep()
+			g.pool.CloseExpired()
 			g.callers.sweep(g.idleLimit())
 		}
 	}
@@ -133,7 +133,7 @@
 func (g *Gateway) configureRate(s *view.Snapshot) {
 	g.rate.Configure(s.Deployment.Version, func() map[string]workspace.Limit {
 		g.config.Events.DeploymentFollowed(s.Deployment.Version, s.Revision)
-		return deployment.Limits(s.Deployment)
+		return deployment.WorkspaceLimits(s.Deployment)
 	})
 }
 
--- a/server/gateway/listener.go
+++ b/server/gateway/listener.go
@@ -86,7 +86,7 @@
 	start := g.config.Now()
 	c, err := g.admit(w, r, start)
 	if err == nil && g.shut() {
-		err = fault.After(fault.Leaving, leavingRetryAfter, "this host has stopped taking requests")
+		err = fault.NewRetryAfter(fault.Leaving, leavingRetryAfter, "this host has stopped taking requests")
 	}
 	if err != nil {
 		g.end(w, c, false, err)
--- a/server/gateway/metrics.go
+++ b/server/gateway/metrics.go
@@ -37,11 +37,11 @@
 	return m
 }
 
-func (m *Metrics) ended(e events.Ended) {
+func (m *Metrics) ended(e events.RequestSummary) {
 	m.requests.WithLabelValues(e.Route, strconv.Itoa(e.Status), string(e.Kind)).Inc()
 	m.latency.WithLabelValues(e.Route).Observe(e.Took.Seconds())
-	if e.First > 0 {
-		m.first.WithLabelValues(e.Route).Observe(e.First.Seconds())
+	if e.FirstByte > 0 {
+		m.first.WithLabelValues(e.Route).Observe(e.FirstByte.Seconds())
 	}
 }
 
--- a/server/gateway/models.go
+++ b/server/gateway/models.go
@@ -30,11 +30,11 @@
 func (t *tries) cold(ctx context.Context) (place, error) {
 	g, c := t.gateway, t.call
 	if t.awaited >= maxAwaited {
-		return place{}, fault.After(fault.NoCapacity, coldRetryAfter, "model %q does not stay loaded", c.modelName())
+		return place{}, fault.NewRetryAfter(fault.NoCapacity, coldRetryAfter, "model %q does not stay loaded", c.modelName())
 	}
 	t.awaited++
 	homes := g.targets.homes(c.service.Name, loadTimes(c), t.exclude)
-	err := error(fault.After(fault.NoCapacity, coldRetryAfter, "no target can load model %q", c.modelName()))
+	err := error(fault.NewRetryAfter(fault.NoCapacity, coldRetryAfter, "no target can load model %q", c.modelName()))
 	for _, home := range homes[:min(maxHomes, len(homes))] {
 		loadedForRetry := c.retryExpected // by an earlier home, whose time to retry is the answer
 		refusal := g.ensure(ctx, c, home)
@@ -74,7 +74,7 @@
 	}
 	err := g.ensureUntil(ctx, c, home, g.left)
 	if err != nil && ctx.Err() == nil {
-		return fault.After(fault.Leaving, leavingRetryAfter, "this host is stopping, another one can wait for model %q", c.modelName())
+		return fault.NewRetryAfter(fault.Leaving, leavingRetryAfter, "this host is stopping, another one can wait for model %q", c.modelName())
 	}
 	return err
 }
@@ -83,7 +83,7 @@
 func (g *Gateway) ensureUntil(ctx context.Context, c *call, home targetstatus.Status, stop <-chan struct{}) error {
 	limit := g.modelLimit(c.start.Add(c.patience() - ensureSlack).Sub(g.config.Now()))
 	if limit <= 0 {
-		return fault.After(fault.NoCapacity, coldRetryAfter, "model %q was not ready in time", c.modelName())
+		return fault.NewRetryAfter(fault.NoCapacity, coldRetryAfter, "model %q was not ready in time", c.modelName())
 	}
 	g.config.Events.ModelAwaited(c.RequestID, c.modelName(), home.Instance, limit)
 	ctx, cancel := context.WithTimeout(ctx, limit+ensureSlack)
@@ -96,7 +96,7 @@
 	if err != nil {
 		f := fault.From(rpc.FromTwirp(err))
 		g.config.Events.ModelRefused(c.RequestID, c.modelName(), home.Instance, f.Message, 0)
-		return fault.After(fault.NoCapacity, coldRetryAfter, "the agent of target %s: %s", home.Instance, f.Message)
+		return fault.NewRetryAfter(fault.NoCapacity, coldRetryAfter, "the agent of target %s: %s", home.Instance, f.Message)
 	}
 	if resp.Held {
 		return g.targets.stays(home.Instance)
@@ -107,5 +107,5 @@
 	if after == 0 {
 		after = coldRetryAfter
 	}
-	return fault.After(fault.NoCapacity, after, "model %q on target %s: %s", c.modelName(), home.Instance, resp.Reason)
+	return fault.NewRetryAfter(fault.NoCapacity, after, "model %q on target %s: %s", c.modelName(), home.Instance, resp.Reason)
 }
--- a/server/gateway/path_test.go
+++ b/server/gateway/path_test.go
@@ -31,7 +31,7 @@
 		Expect(r.RequestURI).To(Equal("/order/a%2Fb//c/../d?x=1&&y"))
 		Expect(f.bodies[0]).To(Equal("body"))
 		Expect(r.Header.Get(platform.HeaderWorkspace)).To(Equal("w"))
-		Expect(r.Header.Get(platform.HeaderInstance)).To(Equal("i-1"))
+		Expect(r.Header.Get(platform.HeaderExpectInstance)).To(Equal("i-1"))
 		Expect(r.Header.Get("X-Own")).To(Equal("kept"))
 		for _, gone := range []string{"Authorization", "Hold", "Pin-Ms", "Kv-From", "X-Hop"} {
 			Expect(r.Header.Get(gone)).To(BeEmpty(), gone)
--- a/server/gateway/refuse.go
+++ b/server/gateway/refuse.go
@@ -25,14 +25,14 @@
 	answer := fault.AnswerFor(f.Kind)
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	platform.StampRequest(h, c.RequestID)
+	platform.SetRequestID(h, c.RequestID)
 	if f.Ran == fault.RanNo && (f.RetryAfter > 0 || answer.RetryAfter > 0) {
 		after := f.RetryAfter
 		if after == 0 {
 			after = answer.RetryAfter
 		}
 		c.ended.RetryAfter = after
-		platform.RetryAfter(h, after)
+		platform.SetRetryAfter(h, after)
 	}
 	if g.leaving() {
 		h.Set("Connection", "close")
--- a/server/gateway/relay.go
+++ b/server/gateway/relay.go
@@ -49,7 +49,7 @@
 
 // pass passes a target's answer on. tryAgain: a failure of the target's may be
 // tried elsewhere instead.
-func (r *relay) pass(ctx context.Context, a *upstream.Answer, meta platform.Answer, w *watchdog, tryAgain bool) outcome {
+func (r *relay) pass(ctx context.Context, a *upstream.Response, meta platform.Answer, w *watchdog, tryAgain bool) outcome {
 	defer a.Close()
 	if a.Status >= http.StatusInternalServerError {
 		if r.began || tryAgain {
@@ -69,7 +69,7 @@
 }
 
 // whole passes on an answer that is not a stream of events.
-func (r *relay) whole(ctx context.Context, a *upstream.Answer, blame routing.Outcome) outcome {
+func (r *relay) whole(ctx context.Context, a *upstream.Response, blame routing.Outcome) outcome {
 	var first bytes.Buffer
 	_, err := io.Copy(&first, io.LimitReader(a.Body, wholeAnswer))
 	if err != nil {
@@ -100,7 +100,7 @@
 }
 
 // begin sends the header of the first target's answer.
-func (r *relay) begin(a *upstream.Answer) {
+func (r *relay) begin(a *upstream.Response) {
 	if r.began {
 		return
 	}
@@ -115,14 +115,14 @@
 	if r.gateway.leaving() {
 		h.Set("Connection", "close")
 	}
-	r.call.ended.First = r.gateway.config.Now().Sub(r.call.start)
+	r.call.ended.FirstByte = r.gateway.config.Now().Sub(r.call.start)
 	r.call.ended.Status = a.Status
 	r.writer.WriteHeader(a.Status)
 }
 
 // events passes a stream on, event by event. Only whole events go out: a target may
 // break off within one, and the next target's stream must fit.
-func (r *relay) events(ctx context.Context, a *upstream.Answer, w *watchdog) outcome {
+func (r *relay) events(ctx context.Context, a *upstream.Response, w *watchdog) outcome {
 	r.stream = true
 	reader := bufio.NewReaderSize(a.Body, 4<<10)
 	flusher, _ := r.writer.(http.Flusher)
@@ -150,7 +150,7 @@
 	}
 }
 
-func (r *relay) forward(a *upstream.Answer, event []byte) bool {
+func (r *relay) forward(a *upstream.Response, event []byte) bool {
 	r.begin(a)
 	if _, err := r.writer.Write(event); err != nil {
 		return false
@@ -193,7 +193,7 @@
 
 // drain reads a short answer to its end, so that its connection can be kept, and
 // closes it.
-func drain(a *upstream.Answer) {
+func drain(a *upstream.Response) {
 	if _, err := io.CopyN(io.Discard, a.Body, drainBytes); err != nil && err != io.EOF {
 		a.Abort()
 		return
--- a/server/gateway/run.go
+++ b/server/gateway/run.go
@@ -77,7 +77,7 @@
 		return false
 	}
 	if t.arrivals > 0 && !g.repeat(c.service.Name) {
-		t.fail(fault.After(fault.Overloaded, fullRetryAfter, "too many repeats go to service %q", c.service.Name))
+		t.fail(fault.NewRetryAfter(fault.Overloaded, fullRetryAfter, "too many repeats go to service %q", c.service.Name))
 		return false
 	}
 	return t.attempt(ctx, p)
@@ -106,7 +106,7 @@
 			if t.awaitTargets(ctx) {
 				continue
 			}
-			return place{}, fault.After(fault.Overloaded, fullRetryAfter, "no target of service %q takes requests", c.service.Name)
+			return place{}, fault.NewRetryAfter(fault.Overloaded, fullRetryAfter, "no target of service %q takes requests", c.service.Name)
 		}
 		if ok && p.Agent != "" {
 			err := g.ensure(ctx, c, p.Status)
@@ -139,7 +139,7 @@
 	if t.worthWaiting(wait) {
 		return p, nil
 	}
-	return place{}, fault.After(fault.Overloaded, request.QueueRetryAfter(wait), "target %s, the best one, has a queue of %v", p.Instance, wait.Round(time.Millisecond))
+	return place{}, fault.NewRetryAfter(fault.Overloaded, request.QueueRetryAfter(wait), "target %s, the best one, has a queue of %v", p.Instance, wait.Round(time.Millisecond))
 }
 
 // worthWaiting reports whether the call should join a queue of that length.
@@ -169,7 +169,7 @@
 	if outcome.err == nil {
 		c.attempts.MarkFinished(a)
 		if t.writer.stream {
-			g.targets.ran(c.service.Name, g.config.Now().Sub(c.start.Add(c.ended.First)))
+			g.targets.ran(c.service.Name, g.config.Now().Sub(c.start.Add(c.ended.FirstByte)))
 		}
 		t.last = nil
 		return false
@@ -272,17 +272,17 @@
 		workspace = c.workspace.Name
 	}
 	return &upstream.Request{
-		Address: p.Address, Method: c.http.Method, Target: c.http.RequestURI, Host: c.http.Host, Body: c.body,
+		Address: p.Address, Method: c.http.Method, RequestURI: c.http.RequestURI, Host: c.http.Host, Body: c.body,
 		Header: platform.ForwardHeaders(c.http.Header, platform.Forward{
 			Instance: p.Instance, Deadline: c.deadline.Sub(g.config.Now()), Workspace: workspace,
 			Rank: c.rank(), LastEvent: t.writer.lastEvent,
 		}),
-		Careful: !c.repeatable(), IdleLimit: platform.IdleLimit,
+		NonRepeatable: !c.repeatable(), KeepAliveTimeout: platform.KeepAliveTimeout,
 	}
 }
 
 func (t *tries) unanswered(ctx context.Context, p place, err error) outcome {
-	sent := upstream.Sent(err)
+	sent := upstream.MaybeSent(err)
 	switch {
 	case errors.Is(context.Cause(ctx), errSilent):
 		return outcome{err: fault.New(fault.TargetFailed, "target %s stayed silent", p.Instance), notRun: !sent, blame: routing.Failed}
@@ -303,13 +303,13 @@
 }
 
 // refusedBy takes a target's word that it did not run the call.
-func (t *tries) refusedBy(p place, answer *upstream.Answer, meta platform.Answer) outcome {
+func (t *tries) refusedBy(p place, answer *upstream.Response, meta platform.Answer) outcome {
 	drain(answer)
-	if meta.Elsewhere {
+	if meta.Misdirected {
 		t.gateway.targets.misplaced(p, meta.Instance)
 		return outcome{err: fault.New(fault.NotHere, "target %s does not hold what is asked for", p.Instance), notRun: true, blame: routing.Neutral}
 	}
-	err := fault.After(fault.Overloaded, fullRetryAfter, "target %s is full", p.Instance)
+	err := fault.NewRetryAfter(fault.Overloaded, fullRetryAfter, "target %s is full", p.Instance)
 	return outcome{err: err, notRun: true, blame: routing.Neutral}
 }
 
--- a/server/gateway/targets.go
+++ b/server/gateway/targets.go
@@ -133,7 +133,7 @@
 	u := updateOf(r)
 	for _, c := range t.known.Apply(u) {
 		s := c.Status
-		t.events.TargetSeen(s.Instance, s.Service, s.Address, s.Draining, c.Removed, age)
+		t.events.TargetChanged(s.Instance, s.Service, s.Address, s.Draining, c.Removed, age)
 	}
 	close(t.changed)
 	t.changed = make(chan struct{})
@@ -308,7 +308,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.known.Get(instance); s == nil || s.Draining {
-		return fault.After(fault.NoCapacity, coldRetryAfter, "target %s is leaving", instance)
+		return fault.NewRetryAfter(fault.NoCapacity, coldRetryAfter, "target %s is leaving", instance)
 	}
 	return nil
 }
--- a/server/inflight/group.go
+++ b/server/inflight/group.go
@@ -58,8 +58,8 @@
 	return g.running
 }
 
-// Leaving reports whether Drain has been called.
-func (g *Group) Leaving() bool {
+// Draining reports whether Drain has been called.
+func (g *Group) Draining() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.draining
--- a/server/member/identity.go
+++ b/server/member/identity.go
@@ -151,10 +151,10 @@
 	return len(members) > 0 && !slices.Contains(members, id.Member)
 }
 
-// queryMembers calls Locate on all processes of Config.Known concurrently, and returns
+// queryMembers calls Locate on all processes of Config.ControlAddresses concurrently, and returns
 // the members from the first answer that names a leader; nil if there is none.
 func (s *Supervisor) queryMembers(ctx context.Context) []uint64 {
-	known := s.config.Known()
+	known := s.config.ControlAddresses()
 	answers := make(chan []uint64, len(known))
 	for _, address := range known {
 		go func() { answers <- s.membersFrom(ctx, address) }()
--- a/server/member/member.go
+++ b/server/member/member.go
@@ -36,17 +36,17 @@
 
 // Config configures a Supervisor.
 type Config struct {
-	Settings   settings.Options // of the control role; the supervisor sets its data folder, member id and members
-	Folder     string           // holds the identity file and the data folder
-	Address    string           // of this process's internal listener
-	Seeds      []string         // internal addresses at process start
-	FirstStart bool             // of the whole fleet
-	Tolerated  int              // number of members that may fail at once
-	Secret     *process.Secret
-	Locate     func(ctx context.Context, address string) (*rpc.LocateResponse, error)
-	Known      func() []string // addresses to ask for the members: seeds and control processes
-	Control    rpc.Control     // client that calls any available member
-	Log        hclog.Logger
+	Settings         settings.Options // of the control role; the supervisor sets its data folder, member id and members
+	Folder           string           // holds the identity file and the data folder
+	Address          string           // of this process's internal listener
+	Seeds            []string         // internal addresses at process start
+	FirstStart       bool             // of the whole fleet
+	FaultTolerance   int              // number of members that may fail at once
+	Secret           *process.Secret
+	Locate           func(ctx context.Context, address string) (*rpc.LocateResponse, error)
+	ControlAddresses func() []string // addresses to ask for the members: seeds and control processes
+	Control          rpc.Control     // client that calls any available member
+	Log              hclog.Logger
 }
 
 // Supervisor keeps one control role running.
@@ -198,14 +198,14 @@
 	}
 }
 
-// repair removes at most one failed member from the group, as chosen by fleet.Repair.
+// repair removes at most one failed member from the group, as chosen by fleet.MemberToRemove.
 func (s *Supervisor) repair(ctx context.Context, role *control.Role) {
 	st := role.Status()
 	var members []fleet.Member
 	for _, m := range st.Members {
 		members = append(members, fleet.Member{ID: m.Id, Address: m.Address, Voter: !m.Learner, Silent: st.Silent[m.Id]})
 	}
-	gone, reason, ok := fleet.Repair(members, s.config.Tolerated)
+	gone, reason, ok := fleet.MemberToRemove(members, s.config.FaultTolerance)
 	if !ok {
 		return
 	}
--- a/server/metrics/control.go
+++ b/server/metrics/control.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// ControlStanding is the status of a control member, read at each scrape.
-type ControlStanding struct {
+// ControlStatus is the status of a control member, read at each scrape.
+type ControlStatus struct {
 	Leading               bool
 	Term                  uint64
 	Commit                uint64
@@ -19,36 +19,36 @@
 // controlCollector computes the metrics from the member's status at each scrape. Separate
 // counters could diverge from the replicated state.
 type controlCollector struct {
-	read     func() ControlStanding
+	read     func() ControlStatus
 	gauges   []gauge
 	replicas *prometheus.Desc
 }
 
 type gauge struct {
 	desc  *prometheus.Desc
-	value func(ControlStanding) float64
+	value func(ControlStatus) float64
 }
 
 // RegisterControl registers the metrics of a control member. read is called at each
 // scrape.
-func RegisterControl(r prometheus.Registerer, read func() ControlStanding) {
+func RegisterControl(r prometheus.Registerer, read func() ControlStatus) {
 	c := &controlCollector{
 		read:     read,
 		replicas: prometheus.NewDesc("cowslip_control_replicas", "Replica decisions, by state: load, ready or unload.", []string{"state"}, nil),
 	}
-	c.add("cowslip_control_leading", "1 where this member leads and holds the leader's lease.", func(s ControlStanding) float64 { return boolValue(s.Leading) })
-	c.add("cowslip_control_term", "Term of the replicated log.", func(s ControlStanding) float64 { return float64(s.Term) })
-	c.add("cowslip_control_commit_index", "Index of the newest committed entry known here.", func(s ControlStanding) float64 { return float64(s.Commit) })
-	c.add("cowslip_control_applied_index", "Index of the newest applied entry.", func(s ControlStanding) float64 { return float64(s.Applied) })
-	c.add("cowslip_control_members", "Control members, learners included.", func(s ControlStanding) float64 { return float64(s.Members) })
-	c.add("cowslip_control_learners", "Control members without a vote.", func(s ControlStanding) float64 { return float64(s.Learners) })
-	c.add("cowslip_control_state_revision", "Revision of the replicated state.", func(s ControlStanding) float64 { return float64(s.Revision) })
-	c.add("cowslip_control_configuration_revision", "Revision of the configuration in force.", func(s ControlStanding) float64 { return float64(s.ConfigurationRevision) })
-	c.add("cowslip_control_hosts", "Entry hosts and agents that are registered.", func(s ControlStanding) float64 { return float64(s.Hosts) })
+	c.add("cowslip_control_leading", "1 where this member leads and holds the leader's lease.", func(s ControlStatus) float64 { return boolValue(s.Leading) })
+	c.add("cowslip_control_term", "Term of the replicated log.", func(s ControlStatus) float64 { return float64(s.Term) })
+	c.add("cowslip_control_commit_index", "Index of the newest committed entry known here.", func(s ControlStatus) float64 { return float64(s.Commit) })
+	c.add("cowslip_control_applied_index", "Index of the newest applied entry.", func(s ControlStatus) float64 { return float64(s.Applied) })
+	c.add("cowslip_control_members", "Control members, learners included.", func(s ControlStatus) float64 { return float64(s.Members) })
+	c.add("cowslip_control_learners", "Control members without a vote.", func(s ControlStatus) float64 { return float64(s.Learners) })
+	c.add("cowslip_control_state_revision", "Revision of the replicated state.", func(s ControlStatus) float64 { return float64(s.Revision) })
+	c.add("cowslip_control_configuration_revision", "Revision of the configuration in force.", func(s ControlStatus) float64 { return float64(s.ConfigurationRevision) })
+	c.add("cowslip_control_hosts", "Entry hosts and agents that are registered.", func(s ControlStatus) float64 { return float64(s.Hosts) })
 	r.MustRegister(c)
 }
 
-func (c *controlCollector) add(name, help string, value func(ControlStanding) float64) {
+func (c *controlCollector) add(name, help string, value func(ControlStatus) float64) {
 	c.gauges = append(c.gauges, gauge{prometheus.NewDesc(name, help, nil, nil), value})
 }
 
--- a/server/metrics/leases.go
+++ b/server/metrics/leases.go
@@ -3,7 +3,7 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 // Leases holds the metrics of a control process on proposed commands and granted
-// freshness leases. The status of the member is in ControlStanding.
+// freshness leases. The status of the member is in ControlStatus.
 type Leases struct {
 	commands *prometheus.CounterVec
 }
--- a/server/node/command.go
+++ b/server/node/command.go
@@ -18,10 +18,10 @@
 	if err != nil {
 		return nil, fault.New(fault.InvalidRequest, "command: %v", err)
 	}
-	if len(data) < pack.Above {
+	if len(data) < pack.MinSize {
 		return data, nil
 	}
-	packed, err := proto.Marshal(&coordpb.Command{Packed: pack.Fast(data)})
+	packed, err := proto.Marshal(&coordpb.Command{Packed: pack.CompressFast(data)})
 	if err != nil {
 		return nil, fault.New(fault.InvalidRequest, "command: %v", err)
 	}
--- a/server/node/create.go
+++ b/server/node/create.go
@@ -11,9 +11,9 @@
 // create makes the first records of an empty folder. It is not known yet whether
 // the folder is new or its disk was lost: only a joining member, whose id is new,
 // and a group of one may go on without asking the others (see forming.go).
-func (n *Node) create() (store.Identity, consensus.Durable, error) {
-	id := store.Identity{Member: n.config.ID, Disk: uuid.NewString(), Known: map[uint64]string{}}
-	var d consensus.Durable
+func (n *Node) create() (store.Identity, consensus.PersistentState, error) {
+	id := store.Identity{Member: n.config.ID, DiskID: uuid.NewString(), KnownDisks: map[uint64]string{}}
+	var d consensus.PersistentState
 	switch {
 	case n.config.Join:
 		id.Formed = true
@@ -30,16 +30,16 @@
 	if err := n.store.Create(id, d); err != nil {
 		return id, d, err
 	}
-	n.config.Logger.Info("made a new data folder", "folder", n.config.Folder, "member", id.Member, "group", id.Group, "disk", id.Disk)
+	n.config.Logger.Info("made a new data folder", "folder", n.config.Folder, "member", id.Member, "group", id.Group, "disk", id.DiskID)
 	return id, d, nil
 }
 
 // restored is the start of a new group from a backup: a snapshot that every
 // first member holds from the beginning.
-func restored(members []*coordpb.Member, data []byte) consensus.Durable {
+func restored(members []*coordpb.Member, data []byte) consensus.PersistentState {
 	const index, term = 1, 1
 	meta := &coordpb.SnapshotMeta{Index: index, Term: term, Membership: &coordpb.Membership{Members: members}}
-	return consensus.Durable{
+	return consensus.PersistentState{
 		HardState: &coordpb.HardState{Term: term, Commit: index},
 		Snapshot:  &coordpb.Snapshot{Meta: meta, Data: data},
 	}
--- a/server/node/disk.go
+++ b/server/node/disk.go
@@ -65,16 +65,16 @@
 }
 
 // load reads the folder, or makes its first records.
-func (n *Node) load() (store.Identity, consensus.Durable, error) {
+func (n *Node) load() (store.Identity, consensus.PersistentState, error) {
 	id, found, err := n.store.Identity()
 	if err != nil {
-		return id, consensus.Durable{}, err
+		return id, consensus.PersistentState{}, err
 	}
 	if !found {
 		return n.create()
 	}
 	if id.Member != n.config.ID {
-		return id, consensus.Durable{}, fault.New(fault.InvalidRequest, "data folder %s belongs to member %d, the settings say %d", n.config.Folder, id.Member, n.config.ID)
+		return id, consensus.PersistentState{}, fault.New(fault.InvalidRequest, "data folder %s belongs to member %d, the settings say %d", n.config.Folder, id.Member, n.config.ID)
 	}
 	d, err := n.store.Load()
 	return id, d, err
--- a/server/node/guard.go
+++ b/server/node/guard.go
@@ -42,7 +42,7 @@
 	if known := g.diskOf(from, members); known != "" && known != disk {
 		return fault.New(fault.Fenced, "member id %d belongs to another disk: its data folder was lost or replaced; start it with a new id and join", from)
 	}
-	if g.id.Known[from] == disk && (g.id.Group != "" || group == "") {
+	if g.id.KnownDisks[from] == disk && (g.id.Group != "" || group == "") {
 		return nil
 	}
 	return g.remember(from, disk, group)
@@ -54,16 +54,16 @@
 			return m.Disk
 		}
 	}
-	return g.id.Known[id]
+	return g.id.KnownDisks[id]
 }
 
 func (g *guard) remember(from uint64, disk, group string) error {
 	next := g.id
-	next.Known = maps.Clone(g.id.Known)
-	if next.Known == nil {
-		next.Known = map[uint64]string{}
+	next.KnownDisks = maps.Clone(g.id.KnownDisks)
+	if next.KnownDisks == nil {
+		next.KnownDisks = map[uint64]string{}
 	}
-	next.Known[from] = disk
+	next.KnownDisks[from] = disk
 	if next.Group == "" {
 		next.Group = group
 	}
--- a/server/node/loop.go
+++ b/server/node/loop.go
@@ -62,7 +62,7 @@
 	case call := <-n.calls:
 		call()
 	case w := <-n.written:
-		n.raft.Written(n.config.Now(), w)
+		n.raft.WriteSynced(n.config.Now(), w)
 		n.transport.send(w.Messages)
 	case b := <-n.applied:
 		return n.finishApply(b)
@@ -71,7 +71,7 @@
 }
 
 func (n *Node) step(d delivery) error {
-	n.raft.NoteDisk(d.from, d.disk)
+	n.raft.SetMemberDisk(d.from, d.disk)
 	for _, m := range d.messages {
 		if err := n.raft.Step(n.config.Now(), m); err != nil {
 			return err
@@ -88,7 +88,7 @@
 			n.writes <- w // has room: one write is out at a time
 			break
 		}
-		n.raft.Written(n.config.Now(), w)
+		n.raft.WriteSynced(n.config.Now(), w)
 		n.transport.send(w.Messages)
 		n.transport.send(n.raft.Messages())
 	}
@@ -138,10 +138,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	before := n.status.Leader
-	n.lease, n.actFrom = s.Lease, s.ActFrom
+	n.lease, n.actFrom = s.LeaseUntil, s.LeaderReadyIndex
 	n.status = Status{
 		ID: s.ID, Term: s.Term, Leader: s.Leader, LeaderAddress: addressOf(s.Members, s.Leader),
-		Commit: s.Commit, Applied: n.done, Members: s.Members, Matched: s.Matched, Silent: s.Silent, Heard: s.Heard,
+		Commit: s.Commit, Applied: n.done, Members: s.Members, Matched: s.MatchIndex, Silent: s.SinceContact, Heard: s.Responded,
 	}
 	leading := n.mayLead(now)
 	if before != s.Leader || n.leading != leading {
@@ -159,7 +159,7 @@
 	}
 	n.loggedStepDown = s.Term
 	n.config.Logger.Warn("leadership_lost", "term", s.Term, "reason", s.Reason,
-		"contact_ms_ago", s.Contact.Milliseconds(), "unsent_bytes", n.transport.queued())
+		"contact_ms_ago", s.SinceQuorumContact.Milliseconds(), "unsent_bytes", n.transport.queued())
 }
 
 // mayLead reports whether this member may act as leader now: its lease runs, and
--- a/server/node/node.go
+++ b/server/node/node.go
@@ -138,12 +138,12 @@
 	random := n.config.Random
 	if random == nil {
 		h := fnv.New64a()
-		_, _ = h.Write([]byte(id.Disk))
+		_, _ = h.Write([]byte(id.DiskID))
 		random = rand.New(rand.NewSource(int64(h.Sum64())))
 	}
 	return consensus.Config{
 		ID: n.config.ID, ElectionTimeout: n.config.electionTimeout(),
-		HeartbeatInterval: n.config.Tick, Random: random, LinkBytesPerSecond: process.SlowestLink,
+		HeartbeatInterval: n.config.Tick, Random: random, LinkBytesPerSecond: process.MinLinkBytesPerSecond,
 	}
 }
 
--- a/server/node/peer.go
+++ b/server/node/peer.go
@@ -38,7 +38,7 @@
 	for _, m := range messages {
 		bytes += proto.Size(m)
 	}
-	return electionTimeout/2 + time.Duration(bytes)*time.Second/process.SlowestLink
+	return electionTimeout/2 + time.Duration(bytes)*time.Second/process.MinLinkBytesPerSecond
 }
 
 // deliver makes one call.
@@ -53,7 +53,7 @@
 		l.client = l.node.config.NewClient()
 	}
 	id := l.node.guard.identity()
-	request := &rpc.DeliverRequest{To: l.id, Messages: messages, From: id.Member, FromDisk: id.Disk, Group: id.Group, Forming: forming, FromAddress: l.node.addressOf(id.Member)}
+	request := &rpc.DeliverRequest{To: l.id, Messages: messages, From: id.Member, FromDisk: id.DiskID, Group: id.Group, Forming: forming, FromAddress: l.node.addressOf(id.Member)}
 	response, err := rpc.NewPeerProtobufClient("http://"+address, l.client).Deliver(ctx, request)
 	if err != nil {
 		l.failed(ctx, err)
--- a/server/node/peerserver.go
+++ b/server/node/peerserver.go
@@ -30,7 +30,7 @@
 	if !r.Forming && id.Formed {
 		n.deliver(delivery{from: r.From, disk: r.FromDisk, messages: r.Messages})
 	}
-	return &rpc.DeliverResponse{Disk: id.Disk, Group: id.Group}, nil
+	return &rpc.DeliverResponse{Disk: id.DiskID, Group: id.Group}, nil
 }
 
 // refusedCode is how a member of another group refuses.
--- a/server/pack/pack.go
+++ b/server/pack/pack.go
@@ -12,14 +12,14 @@
 	"cowsliptiller/coord/fault"
 )
 
-// Above is the size in bytes from which compression pays. A smaller document fits into a
+// MinSize is the size in bytes from which compression pays. A smaller document fits into a
 // few packets.
-const Above = 4 << 10
+const MinSize = 4 << 10
 
-// Fast compresses with little CPU time, for hosts with a small share of a core.
-func Fast(data []byte) []byte { return compress(data, gzip.BestSpeed) }
+// CompressFast compresses with little CPU time, for hosts with a small share of a core.
+func CompressFast(data []byte) []byte { return compress(data, gzip.BestSpeed) }
 
-// Small compresses to fewer bytes than Fast, for data that is sent to every follower.
+// Small compresses to fewer bytes than CompressFast, for data that is sent to every follower.
 func Small(data []byte) []byte { return compress(data, gzip.DefaultCompression) }
 
 func compress(data []byte, level int) []byte {
@@ -31,10 +31,10 @@
 	return b.Bytes()
 }
 
-// Unmarshal decompresses and decodes a message. Errors: those of Unpack, and
+// Unmarshal decompresses and decodes a message. Errors: those of Decompress, and
 // fault.Internal for a malformed message.
 func Unmarshal(data []byte, limit int64, m proto.Message) error {
-	data, err := Unpack(data, limit)
+	data, err := Decompress(data, limit)
 	if err != nil {
 		return err
 	}
@@ -44,10 +44,10 @@
 	return nil
 }
 
-// Unpack decompresses a document. Errors: fault.Internal for malformed data, and
+// Decompress decompresses a document. Errors: fault.Internal for malformed data, and
 // fault.TooLarge for a document of more than limit bytes. Not more than limit+1 bytes
 // are decompressed.
-func Unpack(data []byte, limit int64) ([]byte, error) {
+func Decompress(data []byte, limit int64) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, fault.New(fault.Internal, "decompress document: %v", err)
--- a/server/process/transport.go
+++ b/server/process/transport.go
@@ -19,16 +19,16 @@
 	idleTimeout   = 30 * time.Second
 )
 
-// SlowestLink is the assumed minimum bandwidth of a link between processes of the fleet,
+// MinLinkBytesPerSecond is the assumed minimum bandwidth of a link between processes of the fleet,
 // in bytes per second. The slowest link in use has 10 Mbit/s.
-const SlowestLink = 1 << 20
+const MinLinkBytesPerSecond = 1 << 20
 
 // maxInternalHeaderBytes is the maximum size of the headers of an internal request.
 const maxInternalHeaderBytes = 64 << 10
 
-// SilenceBound is the maximum time that a request between processes of the fleet waits on
+// DeadConnectionTimeout is the maximum time that a request between processes of the fleet waits on
 // a dead connection.
-const SilenceBound = pingAfterIdle + pingTimeout
+const DeadConnectionTimeout = pingAfterIdle + pingTimeout
 
 // Client returns an HTTP client for calls to processes of the fleet. It signs each
 // request and does not follow redirects.
@@ -36,7 +36,7 @@
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	transport := &http.Transport{
-		DialContext:     dial.Again((&net.Dialer{}).DialContext, dialTimeout),
+		DialContext:     dial.WithRetry((&net.Dialer{}).DialContext, dialTimeout),
 		IdleConnTimeout: idleTimeout,
 		Protocols:       protocols,
 		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfterIdle, PingTimeout: pingTimeout},
--- a/server/rpc/adopt.go
+++ b/server/rpc/adopt.go
@@ -8,29 +8,29 @@
 	"cowsliptiller/server/pack"
 )
 
-// MaxAdoptBytes bounds a decompressed deployment with its source document, in bytes: some
+// MaxDeploymentBytes bounds a decompressed deployment with its source document, in bytes: some
 // ten thousand routes.
-const MaxAdoptBytes = 64 << 20
+const MaxDeploymentBytes = 64 << 20
 
-// PackAdopt returns the request that adopts a deployment, compressed if it has at least
-// pack.Above bytes.
-func PackAdopt(a *coordpb.AdoptDeployment) (*AdoptRequest, error) {
-	if proto.Size(a) < pack.Above {
+// CompressAdopt returns the request that adopts a deployment, compressed if it has at least
+// pack.MinSize bytes.
+func CompressAdopt(a *coordpb.AdoptDeployment) (*AdoptRequest, error) {
+	if proto.Size(a) < pack.MinSize {
 		return &AdoptRequest{Adopt: a}, nil
 	}
 	data, err := proto.Marshal(a)
 	if err != nil {
 		return nil, fault.New(fault.InvalidRequest, "encode deployment: %v", err)
 	}
-	return &AdoptRequest{AdoptGzip: pack.Fast(data)}, nil
+	return &AdoptRequest{AdoptGzip: pack.CompressFast(data)}, nil
 }
 
-// UnpackAdopt returns the deployment of a request, or nil if it has none.
-func UnpackAdopt(r *AdoptRequest) (*coordpb.AdoptDeployment, error) {
+// DecompressAdopt returns the deployment of a request, or nil if it has none.
+func DecompressAdopt(r *AdoptRequest) (*coordpb.AdoptDeployment, error) {
 	if len(r.AdoptGzip) == 0 {
 		return r.Adopt, nil
 	}
-	data, err := pack.Unpack(r.AdoptGzip, MaxAdoptBytes)
+	data, err := pack.Decompress(r.AdoptGzip, MaxDeploymentBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/server/rpc/fault.go
+++ b/server/rpc/fault.go
@@ -56,6 +56,6 @@
 
 func faultFromMeta(t twirp.Error) error {
 	retryAfterMs, _ := strconv.ParseInt(t.Meta(metaRetryAfter), 10, 64)
-	err := fault.After(fault.Kind(t.Meta(metaKind)), time.Duration(retryAfterMs)*time.Millisecond, "%s", t.Msg())
+	err := fault.NewRetryAfter(fault.Kind(t.Meta(metaKind)), time.Duration(retryAfterMs)*time.Millisecond, "%s", t.Msg())
 	return fault.WithRan(err, fault.Ran(t.Meta(metaRan)), t.Meta(metaRepeatable) == "true")
 }
--- a/server/steward/orders.go
+++ b/server/steward/orders.go
@@ -18,7 +18,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	said, err := s.config.Target.Send(ctx, platform.Order{
-		Load: o.Load, Model: o.Model, Adapter: o.Adapter, After: o.ExpectedSequence,
+		Load: o.Load, Model: o.Model, Adapter: o.Adapter, ExpectedSequence: o.ExpectedSequence,
 		Holder: s.config.Caller.GetHost(), Fencing: s.config.Fencing, Instance: o.Instance,
 	})
 	result := resultOf(said, err)
@@ -26,7 +26,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keeper.HandleResult(o, result, s.config.Now())
-	if err == nil && said == platform.OrderElsewhere {
+	if err == nil && said == platform.OrderMisdirected {
 		// The target has started again under another id since it was asked for it.
 		s.instance = ""
 	}
@@ -63,7 +63,7 @@
 	switch said {
 	case platform.OrderAccepted:
 		return residency.Accepted
-	case platform.OrderHolds:
+	case platform.OrderAlreadyDone:
 		return residency.AlreadyDone
 	case platform.OrderInvalid, platform.OrderFenced:
 		return residency.Rejected
--- a/server/steward/steward.go
+++ b/server/steward/steward.go
@@ -269,8 +269,8 @@
 // takes one of its slots and is priced.
 func (s *Steward) identify(ctx context.Context, r *platform.Report) error {
 	s.mu.Lock()
-	known := s.instance != "" && s.born == r.BornUnixMs && r.Orders >= s.orders
-	s.orders = r.Orders
+	known := s.instance != "" && s.born == r.StartedUnixMs && r.Sequence >= s.orders
+	s.orders = r.Sequence
 	s.mu.Unlock()
 	if known {
 		return nil
@@ -278,16 +278,16 @@
 	s.mu.Lock()
 	path := s.healthPath
 	s.mu.Unlock()
-	id, err := s.config.Target.Identify(ctx, path)
+	id, err := s.config.Target.InstanceID(ctx, path)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if id != s.lastID || s.born != r.BornUnixMs || r.Orders == 0 {
+	if id != s.lastID || s.born != r.StartedUnixMs || r.Sequence == 0 {
 		s.starts++
 	}
-	s.instance, s.lastID, s.born = id, id, r.BornUnixMs
+	s.instance, s.lastID, s.born = id, id, r.StartedUnixMs
 	return nil
 }
 
@@ -309,14 +309,14 @@
 
 func (s *Steward) observed(r *platform.Report) residency.Report {
 	out := residency.Report{
-		Instance: s.instance, StartID: s.start(), Busy: r.Busy, Sequence: r.Orders, Models: map[string][]string{},
+		Instance: s.instance, StartID: s.start(), Busy: r.Busy, Sequence: r.Sequence, Models: map[string][]string{},
 		LoadingAdapters: map[string][]string{}, InMemory: r.InMemory, OnDisk: r.OnDisk,
 		Saturated: targetstatus.Saturated(r.Running, r.Queued, s.slots),
 	}
 	for _, m := range r.Models {
 		out.Models[m.Name] = m.Adapters
 	}
-	for _, c := range r.Coming {
+	for _, c := range r.LoadingAdapters {
 		out.LoadingAdapters[c.Model] = append(out.LoadingAdapters[c.Model], c.Adapter)
 	}
 	return out
@@ -344,7 +344,7 @@
 		return out
 	}
 	r := s.report
-	out.Instance, out.BornUnixMs, out.Draining = s.instance, r.BornUnixMs, r.Draining
+	out.Instance, out.BornUnixMs, out.Draining = s.instance, r.StartedUnixMs, r.Draining
 	out.Running, out.Queued = uint32(r.Running), uint32(r.Queued)
 	out.Loading, out.Awaited = s.keeper.Loading(), s.keeper.Awaited()
 	out.LoadWaitMs = uint32(s.keeper.LoadWait(s.config.Now()).Round(loadWaitStep).Milliseconds())
--- a/server/steward/steward_test.go
+++ b/server/steward/steward_test.go
@@ -66,7 +66,7 @@
 	}
 	switch r.URL.Path {
 	case "/health":
-		w.Header().Set(platform.HeaderSelf, e.id)
+		w.Header().Set(platform.HeaderAnsweredBy, e.id)
 	case "/report":
 		e.report(w)
 	case "/order":
@@ -81,11 +81,11 @@
 func (e *engine) order(w http.ResponseWriter, r *http.Request) {
 	o, err := platformtest.ReadOrder(r.Body)
 	switch {
-	case r.Header.Get(platform.HeaderInstance) != e.id:
+	case r.Header.Get(platform.HeaderExpectInstance) != e.id:
 		e.elsewhere++
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
-	case err != nil || o.After != e.seq || o.Holder == "" || o.Fencing == 0:
+	case err != nil || o.ExpectedSequence != e.seq || o.Holder == "" || o.Fencing == 0:
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
--- a/server/store/identity.go
+++ b/server/store/identity.go
@@ -16,12 +16,12 @@
 type Identity struct {
 	Member uint64 `json:"member"`
 	Group  string `json:"group"` // empty until a joining member has received it
-	Disk   string `json:"disk"`
+	DiskID string `json:"disk"`
 	// Formed is set once every other initial member has accepted this disk. Until
 	// then the member neither votes nor stands for election.
 	Formed bool `json:"formed"`
-	// Known maps each other member to the disk id first seen from it.
-	Known map[uint64]string `json:"known"`
+	// KnownDisks maps each other member to the disk id first seen from it.
+	KnownDisks map[uint64]string `json:"known"`
 }
 
 // Identity returns the stored identity; false if the folder is new.
--- a/server/store/load.go
+++ b/server/store/load.go
@@ -14,8 +14,8 @@
 // Load reads and verifies the hard state, the snapshot and the log. A missing,
 // truncated or corrupt record is an error: without it the member would contradict
 // votes or lack entries that it acknowledged.
-func (s *Store) Load() (consensus.Durable, error) {
-	var d consensus.Durable
+func (s *Store) Load() (consensus.PersistentState, error) {
+	var d consensus.PersistentState
 	hs, snap := &coordpb.HardState{}, &coordpb.Snapshot{}
 	if err := s.loadRecord(hardStateKey, hs); err != nil {
 		return d, err
@@ -27,7 +27,7 @@
 	if err != nil {
 		return d, err
 	}
-	return consensus.Durable{HardState: hs, Snapshot: snap, Entries: entries}, nil
+	return consensus.PersistentState{HardState: hs, Snapshot: snap, Entries: entries}, nil
 }
 
 func (s *Store) loadEntries() ([]*coordpb.Entry, error) {
--- a/server/store/store.go
+++ b/server/store/store.go
@@ -106,7 +106,7 @@
 
 // Create writes the initial records of a new folder atomically. An error is final, as
 // in Save.
-func (s *Store) Create(id Identity, d consensus.Durable) error {
+func (s *Store) Create(id Identity, d consensus.PersistentState) error {
 	b := s.db.NewBatch()
 	if err := putIdentity(b, id); err != nil {
 		return err
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// addSnapshot replaces the snapshot and deletes the entries below w.KeepFrom.
+// addSnapshot replaces the snapshot and deletes the entries below w.FirstKeptIndex.
 func (s *Store) addSnapshot(b *pebble.Batch, w *consensus.Write) error {
 	v, err := marshalRecord(snapshotKey, w.Snapshot)
 	if err != nil {
@@ -187,13 +187,13 @@
 	if err := b.Set(snapshotKey, v, nil); err != nil {
 		return fault.New(fault.Internal, "store: writing the snapshot: %v", err)
 	}
-	if w.KeepFrom <= s.firstIndex {
+	if w.FirstKeptIndex <= s.firstIndex {
 		return nil
 	}
-	if err := b.DeleteRange(entryKey(s.firstIndex), entryKey(w.KeepFrom), nil); err != nil {
+	if err := b.DeleteRange(entryKey(s.firstIndex), entryKey(w.FirstKeptIndex), nil); err != nil {
 		return fault.New(fault.Internal, "store: deleting compacted entries: %v", err)
 	}
-	s.firstIndex = w.KeepFrom
+	s.firstIndex = w.FirstKeptIndex
 	s.nextIndex = max(s.nextIndex, s.firstIndex)
 	return nil
 }
--- a/server/store/store_test.go
+++ b/server/store/store_test.go
@@ -40,7 +40,7 @@
 
 const folder = "/data/member"
 
-var identity = store.Identity{Member: 7, Group: "g", Disk: "d", Known: map[uint64]string{1: "x"}}
+var identity = store.Identity{Member: 7, Group: "g", DiskID: "d", KnownDisks: map[uint64]string{1: "x"}}
 
 func entries(from, through, term uint64) []*coordpb.Entry {
 	var out []*coordpb.Entry
@@ -62,7 +62,7 @@
 	return s
 }
 
-func indexes(d consensus.Durable) []uint64 {
+func indexes(d consensus.PersistentState) []uint64 {
 	var out []uint64
 	for _, e := range d.Entries {
 		out = append(out, e.Index)
@@ -228,7 +228,7 @@
 	}
 	if w.Snapshot != nil {
 		m.snapshot = w.Snapshot
-		for len(m.entries) > 0 && m.entries[0].Index < w.KeepFrom {
+		for len(m.entries) > 0 && m.entries[0].Index < w.FirstKeptIndex {
 			m.entries = m.entries[1:]
 		}
 	}
@@ -246,11 +246,11 @@
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0: // snapshot received from the leader
 		index := last + uint64(rapid.IntRange(1, 30).Draw(t, "ahead"))
-		w.Snapshot, w.Reset, w.KeepFrom = snapshotAt(index), true, index
+		w.Snapshot, w.Reset, w.FirstKeptIndex = snapshotAt(index), true, index
 	case 1: // local snapshot
 		if last > m.snapshot.Meta.Index {
 			index := rapid.Uint64Range(m.snapshot.Meta.Index+1, last).Draw(t, "index")
-			w.Snapshot, w.KeepFrom = snapshotAt(index), rapid.Uint64Range(m.snapshot.Meta.Index, index).Draw(t, "keep")
+			w.Snapshot, w.FirstKeptIndex = snapshotAt(index), rapid.Uint64Range(m.snapshot.Meta.Index, index).Draw(t, "keep")
 		}
 	default:
 		from := last + 1 - min(last-m.snapshot.Meta.Index, uint64(rapid.IntRange(0, 3).Draw(t, "back")))
--- a/server/upstream/conn.go
+++ b/server/upstream/conn.go
@@ -30,7 +30,7 @@
 
 var (
 	dialer     = net.Dialer{KeepAlive: -1, Control: setUserTimeout}
-	dialTarget = dial.Again(dialer.DialContext, DialTimeout)
+	dialTarget = dial.WithRetry(dialer.DialContext, DialTimeout)
 )
 
 func openConn(ctx context.Context, address string) (*conn, error) {
--- a/server/upstream/exchange.go
+++ b/server/upstream/exchange.go
@@ -13,18 +13,18 @@
 
 // Request is one call to a target. All but the headers is sent as the caller sent it.
 type Request struct {
-	Address string // IP:port
-	Method  string
-	Target  string // request URI: path and query, unchanged
-	Host    string
-	Header  http.Header
-	Body    []byte
-	// Careful marks a call that must not be repeated. It is sent only over a new
+	Address    string // IP:port
+	Method     string
+	RequestURI string // request URI: path and query, unchanged
+	Host       string
+	Header     http.Header
+	Body       []byte
+	// NonRepeatable marks a call that must not be repeated. It is sent only over a new
 	// connection or one that was idle for at most nonRepeatableMaxIdle.
-	Careful bool
-	// IdleLimit returns how long the target keeps an idle connection, as announced in
+	NonRepeatable bool
+	// KeepAliveTimeout returns how long the target keeps an idle connection, as announced in
 	// the response headers; 0: not announced. A nil function means not announced.
-	IdleLimit func(http.Header) time.Duration
+	KeepAliveTimeout func(http.Header) time.Duration
 }
 
 // Error is the error of a request that got no response.
@@ -38,15 +38,15 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Sent reports whether a request that failed with err may have reached the target.
-func Sent(err error) bool {
+// MaybeSent reports whether a request that failed with err may have reached the target.
+func MaybeSent(err error) bool {
 	var e *Error
 	return !errors.As(err, &e) || e.Sent
 }
 
-// Answer is a target's response. Close must be called once. Closing it before the end
+// Response is a target's response. Close must be called once. Closing it before the end
 // of its body closes the connection, which cancels the request at the target.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Length int64 // Content-Length in bytes; -1: unknown
@@ -75,8 +75,8 @@
 // Do sends a request and returns when the response header has been read. The end of
 // the context closes the connection, also while the body is read. The error is an
 // *Error.
-func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
-	c, _, err := p.acquire(ctx, r.Address, r.Careful)
+func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
+	c, _, err := p.acquire(ctx, r.Address, r.NonRepeatable)
 	if err != nil {
 		return nil, &Error{Err: err}
 	}
@@ -91,7 +91,7 @@
 		x.closeConn()
 		return nil, &Error{Sent: true, Err: contextError(ctx, err)}
 	}
-	a := &Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, exchange: x, closeAfter: resp.Close}
+	a := &Response{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, exchange: x, closeAfter: resp.Close}
 	a.Body = &eofReader{answer: a, reader: resp.Body}
 	return a, nil
 }
@@ -107,7 +107,7 @@
 	r := x.request
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
-	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
+	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	_ = r.Header.Write(&b)
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
@@ -160,8 +160,8 @@
 			_ = x.conn.Close()
 			return
 		}
-		if x.request.IdleLimit != nil {
-			x.conn.targetIdleLimit = x.request.IdleLimit(h)
+		if x.request.KeepAliveTimeout != nil {
+			x.conn.targetIdleLimit = x.request.KeepAliveTimeout(h)
 		}
 		x.pool.put(x.request.Address, x.conn)
 	})
@@ -181,7 +181,7 @@
 
 // eofReader marks the response as complete when its body ends with io.EOF.
 type eofReader struct {
-	answer *Answer
+	answer *Response
 	reader io.Reader
 }
 
@@ -194,7 +194,7 @@
 }
 
 // Close ends the exchange. The connection is reused if the response was read to its end.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if (a.complete || a.Length == 0) && !a.closeAfter {
 		a.exchange.release(a.Header)
 		return
@@ -204,4 +204,4 @@
 
 // Abort ends the exchange and closes its connection, for a response that cannot be
 // trusted.
-func (a *Answer) Abort() { a.exchange.closeConn() }
+func (a *Response) Abort() { a.exchange.closeConn() }
--- a/server/upstream/pool.go
+++ b/server/upstream/pool.go
@@ -10,7 +10,7 @@
 const (
 	// DialTimeout bounds opening a connection. A target in the same region accepts
 	// within a few milliseconds. If the SYN packet is lost, dialing is retried every
-	// dial.FirstAnswer, four times.
+	// dial.AttemptTimeout, four times.
 	DialTimeout = 1200 * time.Millisecond
 	// maxIdlePerTarget is the maximum number of idle connections to one target.
 	maxIdlePerTarget = 64
@@ -107,8 +107,8 @@
 	}
 }
 
-// Sweep closes the idle connections that are past their limit.
-func (p *Pool) Sweep() {
+// CloseExpired closes the idle connections that are past their limit.
+func (p *Pool) CloseExpired() {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/server/upstream/upstream_test.go
+++ b/server/upstream/upstream_test.go
@@ -71,7 +71,7 @@
 }
 
 func get(pool *upstream.Pool, p *rawServer) (string, error) {
-	a, err := pool.Do(context.Background(), &upstream.Request{Address: p.Addr().String(), Method: "GET", Target: "/x", Host: "h", Header: http.Header{}})
+	a, err := pool.Do(context.Background(), &upstream.Request{Address: p.Addr().String(), Method: "GET", RequestURI: "/x", Host: "h", Header: http.Header{}})
 	if err != nil {
 		return "", err
 	}
@@ -112,7 +112,7 @@
 		Expect(get(pool, p)).To(Equal("ok"))
 		_, err := get(pool, p)
 		Expect(err).To(HaveOccurred())
-		Expect(upstream.Sent(err)).To(BeTrue())
+		Expect(upstream.MaybeSent(err)).To(BeTrue())
 		Consistently(func() int { n, _ := p.counts(); return n }, 100*time.Millisecond).Should(BeNumerically("<=", 2))
 	})
 
@@ -122,7 +122,7 @@
 		Expect(l.Close()).To(Succeed())
 		_, err = get(upstream.NewPool(time.Now), &rawServer{Listener: l})
 		Expect(err).To(HaveOccurred())
-		Expect(upstream.Sent(err)).To(BeFalse())
+		Expect(upstream.MaybeSent(err)).To(BeFalse())
 	})
 
 	// A target sends bytes after a complete response. The next call on that connection
@@ -174,7 +174,7 @@
 			close(closed)
 		})
 		ctx, cancel := context.WithCancel(context.Background())
-		a, err := upstream.NewPool(time.Now).Do(ctx, &upstream.Request{Address: p.Addr().String(), Method: "GET", Target: "/", Host: "h", Header: http.Header{}})
+		a, err := upstream.NewPool(time.Now).Do(ctx, &upstream.Request{Address: p.Addr().String(), Method: "GET", RequestURI: "/", Host: "h", Header: http.Header{}})
 		Expect(err).NotTo(HaveOccurred())
 		cancel()
 		_, err = io.ReadAll(a.Body)
@@ -190,7 +190,7 @@
 			_, _ = io.Copy(io.Discard, r)
 		})
 		body := make([]byte, 4<<20)
-		a, err := upstream.NewPool(time.Now).Do(context.Background(), &upstream.Request{Address: p.Addr().String(), Method: "POST", Target: "/", Host: "h", Header: http.Header{}, Body: body})
+		a, err := upstream.NewPool(time.Now).Do(context.Background(), &upstream.Request{Address: p.Addr().String(), Method: "POST", RequestURI: "/", Host: "h", Header: http.Header{}, Body: body})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Status).To(Equal(200))
 		got, err := io.ReadAll(a.Body)
@@ -212,7 +212,7 @@
 		mu.Lock()
 		now = now.Add(time.Second)
 		mu.Unlock()
-		a, err := pool.Do(context.Background(), &upstream.Request{Address: p.Addr().String(), Method: "GET", Target: "/", Host: "h", Header: http.Header{}, Careful: true})
+		a, err := pool.Do(context.Background(), &upstream.Request{Address: p.Addr().String(), Method: "GET", RequestURI: "/", Host: "h", Header: http.Header{}, NonRepeatable: true})
 		Expect(err).NotTo(HaveOccurred())
 		a.Abort()
 		_, conns := p.counts()
--- a/server/view/apply.go
+++ b/server/view/apply.go
@@ -44,12 +44,12 @@
 
 func emptySnapshot() *Snapshot {
 	return &Snapshot{
-		Keys:     map[Digest]*coordpb.Key{},
-		Hosts:    map[string]*coordpb.Host{},
-		AgentOf:  map[string]*coordpb.Host{},
-		Replicas: map[string][]*coordpb.Replica{},
-		Strikes:  map[string]*coordpb.Strikes{},
-		rows:     newRows(),
+		Keys:          map[Digest]*coordpb.Key{},
+		Hosts:         map[string]*coordpb.Host{},
+		AgentByTarget: map[string]*coordpb.Host{},
+		Replicas:      map[string][]*coordpb.Replica{},
+		Strikes:       map[string]*coordpb.Strikes{},
+		rows:          newRows(),
 	}
 }
 
@@ -161,7 +161,7 @@
 	if h.Role != state.RoleAgent {
 		return
 	}
-	if other := s.AgentOf[h.Target]; other == nil || other.Revision < h.Revision {
-		s.AgentOf[h.Target] = h
+	if other := s.AgentByTarget[h.Target]; other == nil || other.Revision < h.Revision {
+		s.AgentByTarget[h.Target] = h
 	}
 }
--- a/server/view/compress.go
+++ b/server/view/compress.go
@@ -18,10 +18,10 @@
 // (docs/CAPACITY.md). Its lines are very similar and compress well, as do the routes of
 // a deployment.
 func Compress(v *coordpb.View) *coordpb.View {
-	if len(v.Questionnaire) > pack.Above {
+	if len(v.Questionnaire) > pack.MinSize {
 		v.QuestionnaireGzip, v.Questionnaire = pack.Small(v.Questionnaire), nil
 	}
-	if proto.Size(v.Deployment) <= pack.Above {
+	if proto.Size(v.Deployment) <= pack.MinSize {
 		return v
 	}
 	data, err := proto.Marshal(v.Deployment)
@@ -38,7 +38,7 @@
 	if len(v.QuestionnaireGzip) == 0 {
 		return v.Questionnaire, nil
 	}
-	return pack.Unpack(v.QuestionnaireGzip, config.MaxQuestionnaireBytes)
+	return pack.Decompress(v.QuestionnaireGzip, config.MaxQuestionnaireBytes)
 }
 
 // deploymentOf returns the deployment of a view, nil if it contains none.
--- a/server/view/snapshot.go
+++ b/server/view/snapshot.go
@@ -19,7 +19,7 @@
 	Routes        *deployment.Index     // index of Deployment; nil without one
 	Keys          map[Digest]*coordpb.Key
 	Hosts         map[string]*coordpb.Host      // by host name
-	AgentOf       map[string]*coordpb.Host      // by target name
+	AgentByTarget map[string]*coordpb.Host      // by target name
 	Replicas      map[string][]*coordpb.Replica // by model, sorted by target name
 	Strikes       map[string]*coordpb.Strikes   // by StrikeID
 
--- a/server/view/suite_test.go
+++ b/server/view/suite_test.go
@@ -190,7 +190,7 @@
 			t.Fatalf("snapshot has %d hosts, state has %d", len(now.Hosts), len(hosts))
 		}
 		for _, h := range hosts {
-			if now.Hosts[h.Host].GetTarget() != h.Target || now.AgentOf[h.Target] == nil {
+			if now.Hosts[h.Host].GetTarget() != h.Target || now.AgentByTarget[h.Target] == nil {
 				t.Fatalf("snapshot has host %v, state has %v", now.Hosts[h.Host], h)
 			}
 		}
--- a/server/wire/frames.go
+++ b/server/wire/frames.go
@@ -37,8 +37,8 @@
 	return &Writer{attemptID: attemptID, out: out, flush: flush}
 }
 
-// Accept writes the status and headers of the target's response.
-func (w *Writer) Accept(a *rpc.Accepted) error {
+// WriteAccepted writes the status and headers of the target's response.
+func (w *Writer) WriteAccepted(a *rpc.Accepted) error {
 	return w.write(&rpc.Frame{Part: &rpc.Frame_Accepted{Accepted: a}})
 }
 
@@ -176,8 +176,8 @@
 	return fault.New(fault.StreamBroken, "reading a response frame: %v", err)
 }
 
-// FailureOf converts an error to a failure frame.
-func FailureOf(err error) *rpc.Failure {
+// FailureFromError converts an error to a failure frame.
+func FailureFromError(err error) *rpc.Failure {
 	e := fault.From(err)
 	return &rpc.Failure{
 		Kind:         string(e.Kind),
@@ -188,15 +188,15 @@
 	}
 }
 
-// ErrorOf converts a failure frame to an error. An unknown kind becomes
+// ErrorFromFailure converts a failure frame to an error. An unknown kind becomes
 // fault.Internal. An unknown kind or Ran value means that it is unknown whether
 // the request ran.
-func ErrorOf(f *rpc.Failure) error {
+func ErrorFromFailure(f *rpc.Failure) error {
 	kind := fault.Kind(f.Kind)
 	if !fault.Known(kind) {
 		return fault.New(fault.Internal, "agent returned an unknown error kind")
 	}
-	err := fault.After(kind, time.Duration(f.RetryAfterMs)*time.Millisecond, "%s", f.Message)
+	err := fault.NewRetryAfter(kind, time.Duration(f.RetryAfterMs)*time.Millisecond, "%s", f.Message)
 	return fault.WithRan(err, parseRan(f.Ran), f.Repeatable)
 }
 
--- a/server/wire/request.go
+++ b/server/wire/request.go
@@ -17,12 +17,12 @@
 	ProbePath = "/agent/v1/probe"
 )
 
-// PrefixBytes is the number of body bytes that identify a prompt prefix, both for the
+// PrefixHashBytes is the number of body bytes that identify a prompt prefix, both for the
 // entry host's choice of a target and for the order in the agent's queue. It is some
 // 250 tokens: enough to distinguish instruction texts, and less than the shared
 // texts for which a prefix cache pays. A shorter body has no prefix, because caching
 // it saves little.
-const PrefixBytes = 1 << 10
+const PrefixHashBytes = 1 << 10
 
 // Names of the headers that carry a Request. None of them contains a caller's API key.
 const (
@@ -61,10 +61,10 @@
 	Call        string        // id of the call that is passed to the target; empty for engines
 	Fingerprint []byte        // digest of workspace, model or service name, and body
 	ContentType string        // media type of the body
-	Left        time.Duration // time until the caller's deadline
+	Timeout     time.Duration // time until the caller's deadline
 	Tokens      int64         // prompt tokens plus the maximum of generated tokens
 	Weight      int64         // rate of the workspace, which weights its share of the target
-	Alone       bool          // must run alone, because the target crashed while this request ran
+	Exclusive   bool          // must run alone, because the target crashed while this request ran
 }
 
 // WriteHeader sets the headers that encode r.
@@ -87,8 +87,8 @@
 	set(headerFingerprint, hex.EncodeToString(r.Fingerprint))
 	h.Set(headerPriority, strconv.Itoa(r.Priority))
 	h.Set(headerRepeatable, strconv.FormatBool(r.Repeatable))
-	h.Set(headerAlone, strconv.FormatBool(r.Alone))
-	h.Set(headerLeft, strconv.FormatInt(r.Left.Milliseconds(), 10))
+	h.Set(headerAlone, strconv.FormatBool(r.Exclusive))
+	h.Set(headerLeft, strconv.FormatInt(r.Timeout.Milliseconds(), 10))
 	h.Set(headerWeight, strconv.FormatInt(r.Weight, 10))
 	h.Set(headerTokens, strconv.FormatInt(r.Tokens, 10))
 	if r.ContentType != "" {
@@ -115,10 +115,10 @@
 		Call:        d.text(headerCall),
 		Fingerprint: d.bytes(headerFingerprint),
 		ContentType: h.Get("Content-Type"),
-		Left:        time.Duration(d.number(headerLeft)) * time.Millisecond,
+		Timeout:     time.Duration(d.number(headerLeft)) * time.Millisecond,
 		Tokens:      d.number(headerTokens),
 		Weight:      d.number(headerWeight),
-		Alone:       d.boolean(headerAlone),
+		Exclusive:   d.boolean(headerAlone),
 	}
 	if d.err == nil && (r.Model == "") == (r.Service == "") {
 		d.err = fault.New(fault.InvalidRequest, "exactly one of the headers %s and %s must be set", headerModel, headerService)
--- a/server/wire/wire_test.go
+++ b/server/wire/wire_test.go
@@ -33,7 +33,7 @@
 		buffer.Reset()
 		return nil
 	})
-	must(t, w.Accept(&rpc.Accepted{Status: 200}))
+	must(t, w.WriteAccepted(&rpc.Accepted{Status: 200}))
 	for len(answer) > 0 {
 		n := rapid.IntRange(1, len(answer)).Draw(t, "chunk")
 		_, err := w.Write(answer[:n])
@@ -147,7 +147,7 @@
 	return &wire.Request{
 		Attempt: "a-1", ID: "a", Workspace: "labs", KeyID: "k", Class: "lookup", Priority: 1, Repeatable: true,
 		Model: "m", Adapter: "ad", Path: "/v1/completions", Call: "17 ä\n", Fingerprint: []byte{1, 2},
-		ContentType: "application/json", Left: 1500 * time.Millisecond, Tokens: 17, Weight: 5, Alone: true,
+		ContentType: "application/json", Timeout: 1500 * time.Millisecond, Tokens: 17, Weight: 5, Exclusive: true,
 	}
 }
 
@@ -173,12 +173,12 @@
 
 var _ = Describe("a failure frame", func() {
 	It("preserves whether the request ran, and reports an unknown kind as not known to have run", func() {
-		sent := fault.WithRan(fault.After(fault.Overloaded, 2*time.Second, "full"), fault.RanNo, true)
-		got := fault.From(wire.ErrorOf(wire.FailureOf(sent)))
+		sent := fault.WithRan(fault.NewRetryAfter(fault.Overloaded, 2*time.Second, "full"), fault.RanNo, true)
+		got := fault.From(wire.ErrorFromFailure(wire.FailureFromError(sent)))
 		Expect(got.Kind).To(Equal(fault.Overloaded))
 		Expect(got.Ran).To(Equal(fault.RanNo))
 		Expect(got.RetryAfter).To(Equal(2 * time.Second))
-		odd := fault.From(wire.ErrorOf(&rpc.Failure{Kind: "invented", Ran: "no", Repeatable: true}))
+		odd := fault.From(wire.ErrorFromFailure(&rpc.Failure{Kind: "invented", Ran: "no", Repeatable: true}))
 		Expect(odd.Ran).To(Equal(fault.RanUnknown))
 		Expect(odd.Repeatable).To(BeFalse())
 	})
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -149,11 +149,11 @@
 	f.list = l
 	go func() {
 		_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			var list []platformtest.Listed
+			var list []platformtest.ListedTarget
 			for _, t := range f.targets {
 				t.mu.Lock()
 				if !t.down {
-					list = append(list, platformtest.Listed{Instance: t.id, Service: t.service, Address: t.address, Slots: 16})
+					list = append(list, platformtest.ListedTarget{Instance: t.id, Service: t.service, Address: t.address, Slots: 16})
 				}
 				t.mu.Unlock()
 			}
--- a/soak/target.go
+++ b/soak/target.go
@@ -72,7 +72,7 @@
 	}
 	switch r.URL.Path {
 	case "/health":
-		w.Header().Set(platform.HeaderSelf, id)
+		w.Header().Set(platform.HeaderAnsweredBy, id)
 	case "/report":
 		t.report(w)
 	case "/order":
@@ -100,10 +100,10 @@
 	case err != nil || o.Holder == "" || o.Fencing == 0:
 		w.WriteHeader(http.StatusBadRequest)
 		return
-	case r.Header.Get(platform.HeaderInstance) != t.id:
+	case r.Header.Get(platform.HeaderExpectInstance) != t.id:
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
-	case o.After != t.seq:
+	case o.ExpectedSequence != t.seq:
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -130,8 +130,8 @@
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set(platform.HeaderRequestID, request)
 	switch {
-	case r.Header.Get(platform.HeaderInstance) != id || !t.holds(r.Header.Get(platform.HeaderModel)):
-		w.Header().Set(platform.HeaderSelf, id)
+	case r.Header.Get(platform.HeaderExpectInstance) != id || !t.holds(r.Header.Get(platform.HeaderModel)):
+		w.Header().Set(platform.HeaderAnsweredBy, id)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	case mood == "refuse":
