--- a/standin/engine/completions.go
+++ b/standin/engine/completions.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// defaultTokens is generated when a request names no maximum.
-const defaultTokens = 16
+// defaultMaxTokens is the number of tokens generated if a request sets no max_tokens.
+const defaultMaxTokens = 16
 
 type completionRequest struct {
 	Model     string          `json:"model"`
@@ -22,9 +22,9 @@
 
 func (t *Target) completions(w http.ResponseWriter, r *http.Request) {
 	var req completionRequest
-	body, _, err := t.accept(r, func(body []byte) (string, bool) {
+	body, _, err := t.receive(r, func(body []byte) (string, bool) {
 		_ = json.Unmarshal(body, &req)
-		return req.Model, t.mem.holds(req.Model)
+		return req.Model, t.mem.canServe(req.Model)
 	})
 	switch {
 	case errors.Is(err, errNotLoaded):
@@ -35,30 +35,31 @@
 	}
 	t.running.Add(1)
 	defer t.running.Add(-1)
-	if pause(r.Context(), t.paced(t.cfg.PromptTime)) != nil {
+	if sleep(r.Context(), t.underLoad(t.cfg.PromptTime)) != nil {
 		panic(http.ErrAbortHandler)
 	}
-	words := answer(req, body)
+	words := responseWords(req, body)
 	if req.Stream {
 		t.stream(w, r, req, words)
 		return
 	}
-	t.whole(w, r, req, words)
+	t.writeFull(w, r, req, words)
 }
 
-// paced stretches a step by the load beyond the concurrency and by the faults.
-func (t *Target) paced(d time.Duration) time.Duration {
+// underLoad scales a duration by the number of running requests per unit of concurrency,
+// once it exceeds 1, and by the slowdown fault.
+func (t *Target) underLoad(d time.Duration) time.Duration {
 	faults, _, _ := t.state()
 	over := float64(t.running.Load()) / float64(t.cfg.Concurrency)
-	return stretch(stretch(d, over), faults.SlowFactor)
+	return slowDown(slowDown(d, over), faults.SlowFactor)
 }
 
-// answer makes as many words as were asked for; the last one is the digest of
-// the request, so that a caller can tell its own answer from another's.
-func answer(req completionRequest, body []byte) []string {
+// responseWords generates one word for each requested token. The last word is the digest
+// of the request body, so that a client can detect the response to another request.
+func responseWords(req completionRequest, body []byte) []string {
 	n := req.MaxTokens
 	if n <= 0 {
-		n = defaultTokens
+		n = defaultMaxTokens
 	}
 	words := make([]string, n)
 	for i := range words {
@@ -73,7 +74,7 @@
 	w.WriteHeader(http.StatusOK)
 	flush := http.NewResponseController(w)
 	for i, word := range words {
-		t.generate(r, i, len(words))
+		t.waitForToken(r, i, len(words))
 		chunk, _ := json.Marshal(map[string]any{"model": req.Model, "choices": []any{map[string]any{"index": 0, "text": word, "delta": map[string]any{"content": word}}}})
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", chunk); err != nil {
 			return
@@ -84,9 +85,9 @@
 	_, _ = fmt.Fprintf(w, "data: %s\n\ndata: [DONE]\n\n", usage)
 }
 
-func (t *Target) whole(w http.ResponseWriter, r *http.Request, req completionRequest, words []string) {
+func (t *Target) writeFull(w http.ResponseWriter, r *http.Request, req completionRequest, words []string) {
 	for i := range words {
-		t.generate(r, i, len(words))
+		t.waitForToken(r, i, len(words))
 	}
 	text := strings.Join(words, "")
 	writeJSON(w, http.StatusOK, map[string]any{
@@ -96,13 +97,14 @@
 	})
 }
 
-// generate takes the time of one token and plays the fault of half an answer.
-func (t *Target) generate(r *http.Request, i, of int) {
-	if pause(r.Context(), t.paced(t.cfg.TokenTime)) != nil {
+// waitForToken waits for the duration of token i of the given total. It aborts the response
+// at the middle token if the HalfAnswer fault is set.
+func (t *Target) waitForToken(r *http.Request, i, total int) {
+	if sleep(r.Context(), t.underLoad(t.cfg.TokenTime)) != nil {
 		panic(http.ErrAbortHandler)
 	}
 	faults, _, _ := t.state()
-	if faults.HalfAnswer && i == of/2 {
+	if faults.HalfAnswer && i == total/2 {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -112,20 +114,20 @@
 	return map[string]any{"prompt_tokens": prompt, "completion_tokens": len(words), "total_tokens": prompt + len(words)}
 }
 
-// bytesPerToken is the customary rough size of a token of English text.
+// bytesPerToken is the usual estimate for English text.
 const bytesPerToken = 4
 
-// call plays a plain service: it runs the call once for each request that
-// arrives, and tells how often the named call has run.
-func (t *Target) call(w http.ResponseWriter, r *http.Request) {
+// serveCall simulates a plain service: it executes the call once for each request that
+// arrives and reports how often the named call has run.
+func (t *Target) serveCall(w http.ResponseWriter, r *http.Request) {
 	t.running.Add(1)
 	defer t.running.Add(-1)
 	path := strings.TrimPrefix(r.URL.Path, "/")
-	body, runs, err := t.accept(r, func([]byte) (string, bool) { return path, true })
+	body, runs, err := t.receive(r, func([]byte) (string, bool) { return path, true })
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if pause(r.Context(), t.paced(t.cfg.PromptTime)) != nil {
+	if sleep(r.Context(), t.underLoad(t.cfg.PromptTime)) != nil {
 		panic(http.ErrAbortHandler)
 	}
 	answer, _ := json.Marshal(map[string]any{"path": path, "digest": digest(body), "executions": runs})
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Config describes one stand-in target.
+// Config configures one stand-in target.
 type Config struct {
 	Name          string
-	MemoryBytes   int64         // room for weights and adapters; 0 for a plain service
-	Concurrency   int           // requests it runs at full speed; above it each slows in proportion
-	TokenTime     time.Duration // between two generated tokens at full speed
-	PromptTime    time.Duration // before the first token, at full speed
-	ReportLag     time.Duration // age of the load that status reports
-	RestartTime   time.Duration // how long it refuses connections after a crash
-	ChecksFencing bool          // refuses orders with an old fencing number
+	MemoryBytes   int64         // capacity for weights and adapters; 0 for a plain service
+	Concurrency   int           // requests run at full speed; beyond that, all slow down in proportion
+	TokenTime     time.Duration // time to generate one token at full speed
+	PromptTime    time.Duration // time before the first token at full speed
+	ReportLag     time.Duration // minimum interval between updates of the load that status reports
+	RestartTime   time.Duration // how long connections are aborted after a crash
+	ChecksFencing bool          // reject admin requests with an old fencing number
 	Now           func() time.Time
 }
 
-// withDefaults fills what was left out with values that suit a test: fast, but
-// not instant, so that requests overlap.
+// withDefaults replaces unset values with defaults for tests: short durations, but
+// not zero, so that requests overlap.
 func (c Config) withDefaults() Config {
 	if c.Concurrency <= 0 {
 		c.Concurrency = 8
@@ -36,15 +36,15 @@
 	return c
 }
 
-// Faults are what can be switched on over POST /faults. The zero value is a
-// healthy target.
+// Faults selects the injected faults; it is the body of POST /faults. The zero value
+// injects none.
 type Faults struct {
-	SlowFactor     float64 `json:"slow_factor"`      // stretches generation; 0 or 1: none
-	LoadSlowFactor float64 `json:"load_slow_factor"` // stretches loads, as a slow weight store does
-	CrashMarker    string  `json:"crash_marker"`     // a request whose body holds it crashes the target
-	CloseAfterRead bool    `json:"close_after_read"` // closes the connection after reading and running a call
-	Silent         bool    `json:"silent"`           // accepts, and never answers
-	HalfAnswer     bool    `json:"half_answer"`      // closes the connection in the middle of an answer
-	LateMS         int64   `json:"late_ms"`          // waits before the first byte
-	FailLoads      bool    `json:"fail_loads"`       // a load dies halfway; its memory stays taken until unloaded
+	SlowFactor     float64 `json:"slow_factor"`      // multiplies prompt and token times; no effect up to 1
+	LoadSlowFactor float64 `json:"load_slow_factor"` // multiplies load times, as a slow weight store does; no effect up to 1
+	CrashMarker    string  `json:"crash_marker"`     // a request whose body contains it crashes the target
+	CloseAfterRead bool    `json:"close_after_read"` // closes the connection after reading and recording a request
+	Silent         bool    `json:"silent"`           // accepts requests and never responds
+	HalfAnswer     bool    `json:"half_answer"`      // closes the connection in the middle of a response
+	LateMS         int64   `json:"late_ms"`          // delay before the first byte of a response, in milliseconds
+	FailLoads      bool    `json:"fail_loads"`       // loads fail after half their time; the memory stays reserved until an unload
 }
--- a/standin/engine/doc.go
+++ b/standin/engine/doc.go
@@ -1,3 +1,3 @@
-// Package engine is the stand-in target: a model engine or a plain service over HTTP,
-// with faults to switch on. It serves development, tests and experiments.
+// Package engine implements the stand-in target: a simulated model engine and plain
+// service over HTTP with injectable faults, for development, tests and experiments.
 package engine
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-type order struct {
+// adminRequest is the body of the POST /admin/ requests.
+type adminRequest struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter"`
 	Version string `json:"version"`
@@ -16,77 +17,77 @@
 	LoadMS  int64  `json:"load_ms"`
 }
 
-func readOrder(w http.ResponseWriter, r *http.Request) (order, bool) {
-	var o order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&o); err != nil {
+func decodeAdminRequest(w http.ResponseWriter, r *http.Request) (adminRequest, bool) {
+	var req adminRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&req); err != nil {
 		writeJSON(w, http.StatusBadRequest, map[string]any{"error": err.Error()})
-		return o, false
+		return req, false
 	}
-	return o, true
+	return req, true
 }
 
 func (t *Target) load(w http.ResponseWriter, r *http.Request) {
-	o, ok := readOrder(w, r)
+	req, ok := decodeAdminRequest(w, r)
 	if !ok {
 		return
 	}
-	epoch, err := t.mem.reserve(o.Model, o.Version, o.Bytes, o.Fencing)
+	epoch, err := t.mem.reserve(req.Model, req.Version, req.Bytes, req.Fencing)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	faults, _, life := t.state()
+	faults, _, lifetime := t.state()
 	state := stateLoaded
-	duration := stretch(time.Duration(o.LoadMS)*time.Millisecond, faults.LoadSlowFactor)
+	duration := slowDown(time.Duration(req.LoadMS)*time.Millisecond, faults.LoadSlowFactor)
 	if faults.FailLoads {
 		state = stateFailed
 		duration /= 2
 	}
-	// The load goes on when the one who ordered it has gone; only a crash ends it.
-	if pause(life, duration) != nil {
+	// A load continues after its client disconnects; only a crash ends it.
+	if sleep(lifetime, duration) != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if err := t.mem.finish(o.Model, epoch, state); err != nil {
-		refuse(w, err)
+	if err := t.mem.finish(req.Model, epoch, state); err != nil {
+		writeError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, map[string]any{"state": stateLoaded})
 }
 
 func (t *Target) unload(w http.ResponseWriter, r *http.Request) {
-	o, ok := readOrder(w, r)
+	req, ok := decodeAdminRequest(w, r)
 	if !ok {
 		return
 	}
-	if err := t.mem.unload(o.Model, o.Fencing); err != nil {
-		refuse(w, err)
+	if err := t.mem.unload(req.Model, req.Fencing); err != nil {
+		writeError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, map[string]any{"state": "unloaded"})
 }
 
 func (t *Target) loadAdapter(w http.ResponseWriter, r *http.Request) {
-	o, ok := readOrder(w, r)
+	req, ok := decodeAdminRequest(w, r)
 	if !ok {
 		return
 	}
-	faults, _, life := t.state()
-	if pause(life, stretch(time.Duration(o.LoadMS)*time.Millisecond, faults.LoadSlowFactor)) != nil {
+	faults, _, lifetime := t.state()
+	if sleep(lifetime, slowDown(time.Duration(req.LoadMS)*time.Millisecond, faults.LoadSlowFactor)) != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if err := t.mem.loadAdapter(o.Model, o.Adapter, o.Bytes); err != nil {
-		refuse(w, err)
+	if err := t.mem.loadAdapter(req.Model, req.Adapter, req.Bytes); err != nil {
+		writeError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, map[string]any{"state": stateLoaded})
 }
 
 func (t *Target) unloadAdapter(w http.ResponseWriter, r *http.Request) {
-	o, ok := readOrder(w, r)
+	req, ok := decodeAdminRequest(w, r)
 	if !ok {
 		return
 	}
-	t.mem.unloadAdapter(o.Adapter)
+	t.mem.unloadAdapter(req.Adapter)
 	writeJSON(w, http.StatusOK, map[string]any{"state": "unloaded"})
 }
 
@@ -96,21 +97,22 @@
 		"name":            t.cfg.Name,
 		"memory_bytes":    t.cfg.MemoryBytes,
 		"used_bytes":      used,
-		"running":         t.lag(),
+		"running":         t.reportedLoad(),
 		"models":          models,
 		"highest_fencing": highest,
 	})
 }
 
-func refuse(w http.ResponseWriter, err error) {
-	var oe *orderError
-	if !errors.As(err, &oe) {
-		oe = &orderError{status: http.StatusInternalServerError, message: err.Error()}
+func writeError(w http.ResponseWriter, err error) {
+	var re *requestError
+	if !errors.As(err, &re) {
+		re = &requestError{status: http.StatusInternalServerError, message: err.Error()}
 	}
-	writeJSON(w, oe.status, map[string]any{"error": oe.message, "highest": oe.highest})
+	writeJSON(w, re.status, map[string]any{"error": re.message, "highest": re.highestFencing})
 }
 
-func stretch(d time.Duration, factor float64) time.Duration {
+// slowDown multiplies d by factor; factors up to 1 have no effect.
+func slowDown(d time.Duration, factor float64) time.Duration {
 	if factor <= 1 {
 		return d
 	}
--- a/standin/engine/record.go
+++ b/standin/engine/record.go
@@ -5,10 +5,11 @@
 	"sync"
 )
 
-// maxRecords bounds the record; a test that needs more reads it in between.
+// maxRecords bounds the memory of the execution log; further executions are counted but
+// not stored.
 const maxRecords = 200_000
 
-// Execution is one request that the target began to run.
+// Execution is one request that the target started to run.
 type Execution struct {
 	Attempt   string      `json:"attempt"`
 	Workspace string      `json:"workspace"`
@@ -20,35 +21,35 @@
 	Body      string      `json:"body"`
 }
 
-// record is what the target executed. It outlives a simulated crash, because it
-// is the tests' own account and not the target's.
-type record struct {
+// executionLog records what the target executed. It survives a simulated crash because
+// tests verify executions against it; it is not part of the simulated target's state.
+type executionLog struct {
 	mu         sync.Mutex
 	executions []Execution
 	calls      map[string]int
 }
 
-func newRecord() *record {
-	return &record{calls: map[string]int{}}
+func newExecutionLog() *executionLog {
+	return &executionLog{calls: map[string]int{}}
 }
 
-// add notes an execution and returns how often its call has run.
-func (r *record) add(e Execution) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.executions) < maxRecords {
-		r.executions = append(r.executions, e)
+// add records an execution and returns how often its call has run; 1 if it names no call.
+func (l *executionLog) add(e Execution) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.executions) < maxRecords {
+		l.executions = append(l.executions, e)
 	}
 	if e.Call == "" {
 		return 1
 	}
 	id := e.Workspace + "\x00" + e.Call
-	r.calls[id]++
-	return r.calls[id]
+	l.calls[id]++
+	return l.calls[id]
 }
 
-func (r *record) list() []Execution {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]Execution{}, r.executions...)
+func (l *executionLog) list() []Execution {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]Execution{}, l.executions...)
 }
--- a/standin/engine/target.go
+++ b/standin/engine/target.go
@@ -14,35 +14,34 @@
 	"time"
 )
 
-// maxBody bounds a request body.
-const maxBody = 16 << 20
+const maxBodyBytes = 16 << 20
 
-// Target is a stand-in target. It is a model engine and a plain service at
-// once; which one it plays depends on the paths that are called.
+// Target is a stand-in target. It serves both the API of a model engine and that of a
+// plain service; the request path selects which.
 type Target struct {
 	cfg     Config
 	mem     *memory
-	record  *record
+	record  *executionLog
 	running atomic.Int64
 
-	mu        sync.Mutex
-	faults    Faults
-	downUntil time.Time
-	life      context.Context // ended by a crash
-	kill      context.CancelFunc
-	lagged    int64
-	laggedAt  time.Time
+	mu              sync.Mutex
+	faults          Faults
+	downUntil       time.Time
+	lifetime        context.Context // canceled by a crash
+	endLifetime     context.CancelFunc
+	reportedRunning int64
+	reportedAt      time.Time
 }
 
-// New returns a healthy, empty target.
+// New returns a target without faults and without loaded models.
 func New(cfg Config) *Target {
 	cfg = cfg.withDefaults()
-	t := &Target{cfg: cfg, mem: newMemory(cfg.MemoryBytes, cfg.ChecksFencing), record: newRecord()}
-	t.life, t.kill = context.WithCancel(context.Background())
+	t := &Target{cfg: cfg, mem: newMemory(cfg.MemoryBytes, cfg.ChecksFencing), record: newExecutionLog()}
+	t.lifetime, t.endLifetime = context.WithCancel(context.Background())
 	return t
 }
 
-// Handler returns the target's HTTP interface.
+// Handler returns the target's HTTP handler.
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", t.completions)
@@ -52,60 +51,63 @@
 	mux.HandleFunc("POST /admin/adapters/load", t.loadAdapter)
 	mux.HandleFunc("POST /admin/adapters/unload", t.unloadAdapter)
 	mux.HandleFunc("GET /admin/status", t.status)
-	mux.HandleFunc("POST /", t.call)
+	mux.HandleFunc("POST /", t.serveCall)
 	outer := http.NewServeMux()
-	outer.HandleFunc("GET /record", t.showRecord)
-	outer.HandleFunc("POST /faults", t.switchFaults)
+	outer.HandleFunc("GET /record", t.serveRecord)
+	outer.HandleFunc("POST /faults", t.handleFaults)
 	outer.HandleFunc("POST /crash", func(http.ResponseWriter, *http.Request) { t.Crash() })
-	outer.Handle("/", t.whenUp(mux))
+	outer.Handle("/", t.rejectWhileDown(mux))
 	return outer
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the set of injected faults.
 func (t *Target) SetFaults(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
 }
 
-// Record returns what the target executed so far.
+// Record returns the requests executed so far, also those before a crash.
 func (t *Target) Record() []Execution {
 	return t.record.list()
 }
 
-// Peak returns the most memory that was ever taken, in bytes.
+// Peak returns the highest memory use so far, in bytes.
 func (t *Target) Peak() int64 {
 	_, _, peak, _ := t.mem.list()
 	return peak
 }
 
-// Crash loses all that is loaded and running, and refuses connections for a while.
+// Crash simulates a crash: it drops all loaded models, ends all running requests and
+// loads, and aborts new requests for Config.RestartTime.
 func (t *Target) Crash() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.downUntil = t.cfg.Now().Add(t.cfg.RestartTime)
-	t.kill()
-	t.life, t.kill = context.WithCancel(context.Background())
+	t.endLifetime()
+	t.lifetime, t.endLifetime = context.WithCancel(context.Background())
 	t.mem.clear()
 }
 
+// state returns the faults, whether the target is down, and the context that the next
+// crash cancels.
 func (t *Target) state() (Faults, bool, context.Context) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.faults, t.cfg.Now().Before(t.downUntil), t.life
+	return t.faults, t.cfg.Now().Before(t.downUntil), t.lifetime
 }
 
-// whenUp breaks every connection while the target is down, and gives each
-// request a context that a crash ends.
-func (t *Target) whenUp(next http.Handler) http.Handler {
+// rejectWhileDown aborts every connection while the target is down, and gives each
+// request a context that a crash cancels.
+func (t *Target) rejectWhileDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		faults, down, life := t.state()
+		faults, down, lifetime := t.state()
 		if down {
 			panic(http.ErrAbortHandler)
 		}
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		defer context.AfterFunc(life, cancel)()
+		defer context.AfterFunc(lifetime, cancel)()
 		if faults.Silent {
 			<-ctx.Done()
 			panic(http.ErrAbortHandler)
@@ -114,10 +116,11 @@
 	})
 }
 
-// accept reads a request, notes its execution, and plays the faults that come
-// before an answer. It returns how often the call has run.
-func (t *Target) accept(r *http.Request, name func([]byte) (string, bool)) (body []byte, runs int, err error) {
-	body, err = io.ReadAll(io.LimitReader(r.Body, maxBody))
+// receive reads a request, records its execution, and applies the faults that precede
+// a response. name returns the requested resource and whether the target can serve it.
+// receive returns the body and how often the call has run.
+func (t *Target) receive(r *http.Request, name func([]byte) (string, bool)) (body []byte, runs int, err error) {
+	body, err = io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -143,17 +146,17 @@
 	if faults.CloseAfterRead {
 		panic(http.ErrAbortHandler)
 	}
-	return body, runs, pause(r.Context(), time.Duration(faults.LateMS)*time.Millisecond)
+	return body, runs, sleep(r.Context(), time.Duration(faults.LateMS)*time.Millisecond)
 }
 
 var errNotLoaded = errors.New("model not loaded")
 
-func (t *Target) showRecord(w http.ResponseWriter, _ *http.Request) {
+func (t *Target) serveRecord(w http.ResponseWriter, _ *http.Request) {
 	_, used, peak, _ := t.mem.list()
 	writeJSON(w, http.StatusOK, map[string]any{"executions": t.record.list(), "used_bytes": used, "peak_bytes": peak})
 }
 
-func (t *Target) switchFaults(w http.ResponseWriter, r *http.Request) {
+func (t *Target) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
@@ -165,20 +168,21 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// lag returns the number of running requests as it was some time ago.
-func (t *Target) lag() int64 {
+// reportedLoad returns the number of running requests as last sampled; samples are at
+// least Config.ReportLag apart.
+func (t *Target) reportedLoad() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	if now.Sub(t.laggedAt) >= t.cfg.ReportLag {
-		t.lagged = t.running.Load()
-		t.laggedAt = now
+	if now.Sub(t.reportedAt) >= t.cfg.ReportLag {
+		t.reportedRunning = t.running.Load()
+		t.reportedAt = now
 	}
-	return t.lagged
+	return t.reportedRunning
 }
 
-// pause waits for d or until ctx ends.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or until ctx ends and returns its error.
+func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
 	}
