--- a/soak/clients.go
+++ b/soak/clients.go
@@ -16,7 +16,8 @@
 	"cowsliptiller/platform/platformtest"
 )
 
-// deployment is a version of what the operator writes.
+// deployment returns the given version of the deployment document that the operator
+// writes.
 func deployment(version int, withSecondKey bool) []byte {
 	route := func(name, kind, service string, resumable bool) platformtest.Route {
 		return platformtest.Route{Name: name, Host: "soak.example", Prefix: "/" + name + "/", Kind: kind, Service: service,
@@ -38,7 +39,7 @@
 		},
 		Services: []platformtest.Service{
 			{Name: "plain"},
-			{Name: "models", Slots: 16, RoomMb: 100*modelsFit + 50, AdapterPlaces: 8, LoadsPerSecond: 20, Models: models},
+			{Name: "models", Slots: 16, RoomMb: 100*modelCapacity + 50, AdapterPlaces: 8, LoadsPerSecond: 20, Models: models},
 		},
 		Workspaces: []platformtest.Workspace{
 			{Name: "w1", Keys: []string{"key-1"}}, {Name: "w2", Keys: second},
@@ -47,7 +48,7 @@
 	}.Encode()
 }
 
-// A workspace with a rate, which only the tests of causes call.
+// A workspace with a rate limit in requests per second; only the explain tests use it.
 const (
 	limitedWorkspace = "w3"
 	limitedKey       = "key-3"
@@ -56,34 +57,35 @@
 
 var modelNames = []string{"m1", "m2", "m3", "m4", "m5"}
 
-// operator writes deployments and reads them back, at any host.
+// operator writes deployments and reads them back through randomly chosen entry hosts.
 type operator struct {
-	fleet   *fleet
-	version int
-	acked   int
-	revoked time.Time // when the withdrawal of the second key was acknowledged; zero: not yet
-	client  *http.Client
+	fleet        *fleet
+	version      int
+	ackedVersion int
+	revokedAt    time.Time // when the revocation of the second key was acknowledged; zero before that
+	client       *http.Client
 }
 
 func (o *operator) address(r *rand.Rand) string {
-	return fmt.Sprintf("http://%s%d:%d/config", o.fleet.net, entryAddress+r.IntN(entries), portControl)
+	return fmt.Sprintf("http://%s%d:%d/config", o.fleet.net, firstEntryOctet+r.IntN(entryCount), portControl)
 }
 
-// write sends the next version until it is acknowledged or the context ends.
+// write sends the next version until it is acknowledged or the context ends. It reports
+// whether the version was acknowledged.
 func (o *operator) write(ctx context.Context, r *rand.Rand, withSecondKey bool) bool {
 	o.version += 1 + r.IntN(3)
 	body := deployment(o.version, withSecondKey)
 	for ctx.Err() == nil {
 		resp, err := o.call(ctx, http.MethodPut, o.address(r), body)
 		if err == nil && resp == http.StatusOK {
-			o.acked = o.version
+			o.ackedVersion = o.version
 			return true
 		}
 		if err == nil && resp/100 == 4 {
-			o.fleet.journal.fail("a valid deployment was refused with %d", resp)
+			o.fleet.history.addFailure("a valid deployment was rejected with status %d", resp)
 			return false
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	return false
 }
@@ -102,30 +104,32 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err == nil && method == http.MethodGet && resp.StatusCode == http.StatusOK {
-		o.judge(address, text)
+		o.checkRead(address, text)
 	}
 	return resp.StatusCode, err
 }
 
-func (o *operator) judge(address string, text []byte) {
+// checkRead checks a deployment read back from a host: it must parse, and must not be
+// older than the last acknowledged version.
+func (o *operator) checkRead(address string, text []byte) {
 	var d struct{ Version int }
 	if err := json.Unmarshal(text, &d); err != nil {
-		o.fleet.journal.fail("%s gave back what cannot be read: %v", address, err)
-	} else if d.Version < o.acked {
-		o.fleet.journal.fail("%s gave back version %d after %d was acknowledged", address, d.Version, o.acked)
+		o.fleet.history.addFailure("%s returned a deployment that cannot be decoded: %v", address, err)
+	} else if d.Version < o.ackedVersion {
+		o.fleet.history.addFailure("%s returned deployment version %d after version %d was acknowledged", address, d.Version, o.ackedVersion)
 	}
 }
 
-// read reads the deployment at some host; it reports whether it came.
+// read reads the deployment from a random entry host and reports whether it succeeded.
 func (o *operator) read(ctx context.Context, r *rand.Rand) bool {
 	status, err := o.call(ctx, http.MethodGet, o.address(r), nil)
 	return err == nil && status == http.StatusOK
 }
 
-// clients send requests until the context ends.
+// clients send requests in the background until their context ends.
 type clients struct {
 	fleet  *fleet
-	next   atomic.Int64
+	nextID atomic.Int64
 	client *http.Client
 	wg     sync.WaitGroup
 }
@@ -136,7 +140,7 @@
 		c.wg.Go(func() {
 			for ctx.Err() == nil {
 				c.send(ctx, r)
-				pause(ctx, time.Duration(r.IntN(30))*time.Millisecond)
+				sleep(ctx, time.Duration(r.IntN(30))*time.Millisecond)
 			}
 		})
 	}
@@ -144,24 +148,24 @@
 
 func (c *clients) send(ctx context.Context, r *rand.Rand) {
 	kind := []string{"order", "lookup", "stream", "once"}[r.IntN(4)]
-	s := &sent{id: fmt.Sprintf("r%d", c.next.Add(1)), path: "/" + kind + "/x", workspace: "w1", key: "key-1", at: time.Now()}
+	s := &sentRequest{id: fmt.Sprintf("r%d", c.nextID.Add(1)), path: "/" + kind + "/x", workspace: "w1", key: "key-1", sentAt: time.Now()}
 	if r.IntN(5) == 0 {
 		s.workspace, s.key = "w2", "key-2"
 	}
-	s.repeatable, s.stream = kind == "lookup" || kind == "stream", kind == "stream" || kind == "once"
+	s.idempotent, s.stream = kind == "lookup" || kind == "stream", kind == "stream" || kind == "once"
 	ctx, cancel := context.WithTimeout(ctx, 4500*time.Millisecond)
 	defer cancel()
 	if r.IntN(20) == 0 {
 		ctx, cancel = context.WithTimeout(ctx, 50*time.Millisecond)
 		defer cancel()
 	}
-	address := fmt.Sprintf("http://%s%d:%d%s", c.fleet.net, entryAddress+r.IntN(entries), portCallers, s.path)
+	address := fmt.Sprintf("http://%s%d:%d%s", c.fleet.net, firstEntryOctet+r.IntN(entryCount), portCallers, s.path)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, address, bytes.NewReader([]byte("body")))
 	if err != nil {
-		c.fleet.journal.fail("%v", err)
+		c.fleet.history.addFailure("%v", err)
 		return
 	}
-	req.GetBody = nil // a client's own repeat would be a request under the same id
+	req.GetBody = nil // keeps http.Client from retrying, which would send a second request with the same id
 	req.Host = "soak.example"
 	req.Header.Set(platform.HeaderRequestID, s.id)
 	req.Header.Set("Authorization", "Bearer "+s.key)
@@ -169,12 +173,14 @@
 	if s.stream {
 		req.Header.Set(platform.HeaderModel, modelNames[r.IntN(len(modelNames))])
 	}
-	c.fleet.journal.begin(s)
-	c.finish(req, s)
-	c.fleet.journal.end(s)
+	c.fleet.history.recordSent(s)
+	c.exchange(req, s)
+	c.fleet.history.recordStatus(s)
 }
 
-func (c *clients) finish(req *http.Request, s *sent) {
+// exchange sends the request and records the response in s; a failed request leaves the
+// status at 0.
+func (c *clients) exchange(req *http.Request, s *sentRequest) {
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return
@@ -182,10 +188,11 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	s.status, s.stamped = resp.StatusCode, resp.Header.Get(platform.HeaderStamp) != ""
-	s.body, s.whole = string(body), err == nil
+	s.body, s.complete = string(body), err == nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -7,102 +7,106 @@
 	"time"
 )
 
-// fault is one harm and how it ends. Faults overlap: each runs by itself.
+// fault injects one fault, waits, and removes it. Faults run concurrently and may overlap.
 type fault func(ctx context.Context, f *fleet, r *rand.Rand)
 
-// hold is how long a fault lasts.
-func hold(ctx context.Context, r *rand.Rand, least, most time.Duration) {
-	pause(ctx, least+time.Duration(r.Int64N(int64(most-least))))
+// sleepBetween waits for a random duration in [least, most) or until ctx ends.
+func sleepBetween(ctx context.Context, r *rand.Rand, least, most time.Duration) {
+	sleep(ctx, least+time.Duration(r.Int64N(int64(most-least))))
 }
 
-// reloadAfter its start a process surely listens to signals, on a busy machine too.
-const reloadAfter = 3 * time.Second
+// signalReadyAfter is the time after its start by which a process has installed its signal
+// handlers, also on a busy machine.
+const signalReadyAfter = 3 * time.Second
 
-func anyHost(f *fleet, r *rand.Rand) *host { return f.hosts[r.IntN(len(f.hosts))] }
+func randomHost(f *fleet, r *rand.Rand) *host { return f.hosts[r.IntN(len(f.hosts))] }
 
-// faults are all kinds, by name.
+// faults lists the fault types by name. The sorted names are drawn from, so a change here
+// changes the schedule of every seed.
 var faults = map[string]fault{
 	"kill": func(ctx context.Context, f *fleet, r *rand.Rand) {
-		f.replace(ctx, anyHost(f, r), syscall.SIGKILL, r)
+		f.restart(ctx, randomHost(f, r), syscall.SIGKILL, r)
 	},
 	"stop": func(ctx context.Context, f *fleet, r *rand.Rand) {
-		f.replace(ctx, anyHost(f, r), syscall.SIGTERM, r)
+		f.restart(ctx, randomHost(f, r), syscall.SIGTERM, r)
 	},
 	"pause": func(ctx context.Context, f *fleet, r *rand.Rand) {
-		h := anyHost(f, r)
+		h := randomHost(f, r)
 		if !h.claim() {
-			return // another fault has this host
+			return // another fault has claimed this host
 		}
 		defer h.release()
 		h.signal(syscall.SIGSTOP)
-		hold(ctx, r, 500*time.Millisecond, 6*time.Second)
+		sleepBetween(ctx, r, 500*time.Millisecond, 6*time.Second)
 		h.signal(syscall.SIGCONT)
 	},
 	"reload": func(_ context.Context, f *fleet, r *rand.Rand) {
-		// A process that has just been started does not listen to the signal yet and
-		// dies of it; the platform would start it again, this fleet does not.
-		if h := anyHost(f, r); h.olderThan(reloadAfter) {
+		// SIGHUP kills a process that has not installed its handler yet. The platform
+		// would restart it; this fleet doesn't.
+		if h := randomHost(f, r); h.olderThan(signalReadyAfter) {
 			h.signal(syscall.SIGHUP)
 		}
 	},
 	"kill_control": func(ctx context.Context, f *fleet, r *rand.Rand) {
 		for _, h := range f.hosts[:entriesWithDisk] {
 			own := rand.New(rand.NewPCG(r.Uint64(), r.Uint64()))
-			f.faults.Go(func() { f.replace(ctx, h, syscall.SIGKILL, own) })
+			f.activeFaults.Go(func() { f.restart(ctx, h, syscall.SIGKILL, own) })
 		}
 	},
 	"target_crash": func(ctx context.Context, f *fleet, r *rand.Rand) {
 		t := f.targets[r.IntN(len(f.targets))]
 		t.restart(true)
-		hold(ctx, r, 200*time.Millisecond, 2*time.Second)
+		sleepBetween(ctx, r, 200*time.Millisecond, 2*time.Second)
 		t.restart(false)
 	},
-	"target_refuse": mood("refuse"), "target_reset": mood("reset"), "target_hang": mood("hang"), "target_break": mood("break"),
-	"link_delay": harm("delay"), "link_reset": harm("reset"), "link_silent": harm("silent"), "link_oneway": harm("oneway"),
+	"target_refuse": injectTargetFailure("refuse"), "target_reset": injectTargetFailure("reset"), "target_hang": injectTargetFailure("hang"), "target_break": injectTargetFailure("break"),
+	"link_delay": injectLinkFault("delay"), "link_reset": injectLinkFault("reset"), "link_silent": injectLinkFault("silent"), "link_oneway": injectLinkFault("oneway"),
 }
 
-func mood(m string) fault {
+// injectTargetFailure returns a fault that sets the failure mode of a random target.
+func injectTargetFailure(mode string) fault {
 	return func(ctx context.Context, f *fleet, r *rand.Rand) {
 		t := f.targets[r.IntN(len(f.targets))]
-		t.set(m)
-		hold(ctx, r, 300*time.Millisecond, 2*time.Second)
-		t.set("")
+		t.setFailureMode(mode)
+		sleepBetween(ctx, r, 300*time.Millisecond, 2*time.Second)
+		t.setFailureMode("")
 	}
 }
 
-func harm(h string) fault {
+// injectLinkFault returns a fault that sets the link fault of a random proxy.
+func injectLinkFault(name string) fault {
 	return func(ctx context.Context, f *fleet, r *rand.Rand) {
 		p := f.proxies[r.IntN(len(f.proxies))]
-		p.set(h)
-		hold(ctx, r, 300*time.Millisecond, 2*time.Second)
-		p.set("")
+		p.setFault(name)
+		sleepBetween(ctx, r, 300*time.Millisecond, 2*time.Second)
+		p.setFault("")
 	}
 }
 
-// replace ends a host's process and starts it again.
-func (f *fleet) replace(ctx context.Context, h *host, s syscall.Signal, r *rand.Rand) {
-	f.replaceAfter(ctx, h, s, r, func() error { return nil })
+// restart ends a host's process with a signal and starts it again.
+func (f *fleet) restart(ctx context.Context, h *host, s syscall.Signal, r *rand.Rand) {
+	f.restartWith(ctx, h, s, r, func() error { return nil })
 }
 
-// loseDisk kills a control host and brings it back with an empty disk.
-func (f *fleet) loseDisk(ctx context.Context, h *host, r *rand.Rand) {
-	f.replaceAfter(ctx, h, syscall.SIGKILL, r, h.wipe)
+// restartWithoutData kills a control host and starts it again with an empty disk.
+func (f *fleet) restartWithoutData(ctx context.Context, h *host, r *rand.Rand) {
+	f.restartWith(ctx, h, syscall.SIGKILL, r, h.removeData)
 }
 
-// replaceAfter is replace with something done while the process is down.
-func (f *fleet) replaceAfter(ctx context.Context, h *host, s syscall.Signal, r *rand.Rand, down func() error) {
+// restartWith is like restart, and calls down while the process is down.
+func (f *fleet) restartWith(ctx context.Context, h *host, s syscall.Signal, r *rand.Rand, down func() error) {
 	if !h.claim() {
-		return // another fault has this host
+		return // another fault has claimed this host
 	}
 	defer h.release()
-	if !h.end(s) {
-		f.journal.fail("%s did not end within %v of signal %v", h.name, stopBound, s)
+	if !h.stop(s) {
+		f.history.addFailure("%s did not exit within %v of signal %v", h.name, stopTimeout, s)
 	}
 	if err := down(); err != nil {
-		f.journal.fail("%s, while it was down: %v", h.name, err)
+		f.history.addFailure("%s: action while the process was down failed: %v", h.name, err)
 	}
-	hold(ctx, r, 50*time.Millisecond, time.Second)
+	sleepBetween(ctx, r, 50*time.Millisecond, time.Second)
 	if err := f.start(h); err != nil {
-		f.journal.fail("%s did not start again: %v", h.name, err)
+		f.history.addFailure("%s: restart failed: %v", h.name, err)
 	}
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -16,12 +16,12 @@
 	"cowsliptiller/platform/platformtest"
 )
 
-// The fleet: entry hosts with and without a disk, an agent beside each target of the
-// models, and plain targets without one.
+// Layout of the fleet: entry hosts with and without a disk, model targets with one agent
+// each, and plain targets without agents.
 const (
 	entriesWithDisk = 3
 	plainTargets    = 2
-	modelsFit       = 2 // models that a target holds at once
+	modelCapacity   = 2 // models that fit into a target's memory at once
 	portCallers     = 8201
 	portReady       = 8202
 	portControl     = 8203
@@ -31,60 +31,60 @@
 	portList        = 8400
 )
 
-// entries and modelTargets are multiples of the smallest fleet: SOAK_SCALE=20 makes 140
-// processes of it.
+// entryCount and modelTargets scale with the environment variable SOAK_SCALE: 20 runs 140
+// processes.
 var (
 	scale        = max(1, atoi(os.Getenv("SOAK_SCALE")))
-	entries      = 4 * scale
+	entryCount   = 4 * scale
 	modelTargets = 3 * scale
 )
 
-// The last part of the hosts' addresses: of the first entry host, and of the first target
-// with the agent beside it.
+// Last octets of the addresses of the first entry host and of the first target, which
+// shares its address with its agent.
 const (
-	entryAddress  = 10
-	targetAddress = 120
+	firstEntryOctet  = 10
+	firstTargetOctet = 120
 )
 
 func atoi(text string) int {
-	n, _ := strconv.Atoi(text) // 0 where none is given
+	n, _ := strconv.Atoi(text) // 0 if unset or not a number
 	return n
 }
 
-// host is one host with its process.
+// host is a simulated host and its process.
 type host struct {
-	name, ip, settings, folder, log string
-	target                          string
-	first                           bool
+	name, ip, settingsPath, dataDir, logPath string
+	target                                   string
+	firstStart                               bool
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	taken   bool
+	claimed bool
 	started time.Time
 }
 
-// fleet is all that runs for one seed.
+// fleet holds the processes, targets and proxies of one run.
 type fleet struct {
-	net     string // the loopback addresses of this fleet: 127.x.y.
-	dir     string
-	binary  string
-	hosts   []*host
-	targets []*target
-	proxies []*proxy
-	journal *journal
-	list    net.Listener
-	mu      sync.Mutex // guards seeds; a leaf
-	seeds   []string   // addresses that settings name from now on
-	// listeners of targets and proxies.
+	net          string // prefix of this fleet's loopback addresses: 127.x.y.
+	dir          string
+	binary       string
+	hosts        []*host
+	targets      []*target
+	proxies      []*proxy
+	history      *history
+	listListener net.Listener
+	mu           sync.Mutex // guards seeds; no other lock is taken while it is held
+	seeds        []string   // seed addresses for settings files written from now on
+	// listeners of targets and proxies
 	listeners []net.Listener
-	// faults that are under way: a run ends only after they have put things right, or
-	// a process would be started after the run.
-	faults sync.WaitGroup
+	// activeFaults counts running faults. A run waits for them, because a fault restarts
+	// processes when it ends and would otherwise start them after the run.
+	activeFaults sync.WaitGroup
 }
 
 func newFleet(binary, dir string) (*fleet, error) {
-	f := &fleet{dir: dir, binary: binary, journal: newJournal()}
-	if err := f.serveList(); err != nil {
+	f := &fleet{dir: dir, binary: binary, history: newHistory()}
+	if err := f.serveTargetList(); err != nil {
 		return nil, err
 	}
 	for i := range modelTargets + plainTargets {
@@ -92,11 +92,11 @@
 			return nil, err
 		}
 	}
-	for i := range entries {
-		f.hosts = append(f.hosts, f.newHost(fmt.Sprintf("entry-%d", i+1), entryAddress+i, i < entriesWithDisk, ""))
+	for i := range entryCount {
+		f.hosts = append(f.hosts, f.newHost(fmt.Sprintf("entry-%d", i+1), firstEntryOctet+i, i < entriesWithDisk, ""))
 	}
 	for i := range modelTargets {
-		f.hosts = append(f.hosts, f.newHost(fmt.Sprintf("agent-%d", i+1), targetAddress+i, false, f.targets[i].address))
+		f.hosts = append(f.hosts, f.newHost(fmt.Sprintf("agent-%d", i+1), firstTargetOctet+i, false, f.targets[i].address))
 	}
 	for _, h := range f.hosts[:entriesWithDisk] {
 		f.seeds = append(f.seeds, h.ip)
@@ -110,7 +110,7 @@
 }
 
 func (f *fleet) addTarget(i int) error {
-	ip, service := fmt.Sprintf("%s%d", f.net, targetAddress+i), "models"
+	ip, service := fmt.Sprintf("%s%d", f.net, firstTargetOctet+i), "models"
 	if i >= modelTargets {
 		service = "plain"
 	}
@@ -123,7 +123,7 @@
 		return err
 	}
 	f.listeners = append(f.listeners, back, front)
-	t := &target{service: service, address: front.Addr().String(), journal: f.journal}
+	t := &target{service: service, address: front.Addr().String(), history: f.history}
 	t.restart(false)
 	t.serve(back)
 	p := &proxy{backend: back.Addr().String()}
@@ -132,21 +132,22 @@
 	return nil
 }
 
-// nets is how many fleets can run beside each other on one machine.
-const nets = 60 * 200
+// maxFleets is the number of fleets that can run at the same time on one machine.
+const maxFleets = 60 * 200
 
-// serveList is the platform's list of targets. Its listener also takes the fleet's
-// addresses: another soak on this machine finds it in use and takes the next ones.
-func (f *fleet) serveList() error {
+// serveTargetList serves the platform's list of targets. Its listener also reserves the
+// fleet's loopback network: another soak on this machine finds the address in use and
+// tries the next network.
+func (f *fleet) serveTargetList() error {
 	var l net.Listener
 	for n := 0; l == nil; n++ {
-		if n == nets {
-			return fmt.Errorf("no loopback addresses are free")
+		if n == maxFleets {
+			return fmt.Errorf("no free loopback network for the fleet")
 		}
 		f.net = fmt.Sprintf("127.%d.%d.", 60+n/200, n%200+1)
-		l, _ = net.Listen("tcp4", fmt.Sprintf("%s%d:%d", f.net, 5, portList)) // in use: the next
+		l, _ = net.Listen("tcp4", fmt.Sprintf("%s%d:%d", f.net, 5, portList)) // if in use, try the next
 	}
-	f.list = l
+	f.listListener = l
 	go func() {
 		_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			var list []platformtest.Listed
@@ -157,23 +158,23 @@
 				}
 				t.mu.Unlock()
 			}
-			_, _ = w.Write(platformtest.EncodeList(list)) // a reader that has gone does not read it
+			_, _ = w.Write(platformtest.EncodeList(list)) // fails if the client has disconnected
 		}))
 	}()
 	return nil
 }
 
 func (f *fleet) newHost(name string, last int, disk bool, proxied string) *host {
-	h := &host{name: name, ip: fmt.Sprintf("%s%d", f.net, last), first: true, target: proxied}
-	h.settings, h.log = filepath.Join(f.dir, name+".toml"), filepath.Join(f.dir, name+".log")
+	h := &host{name: name, ip: fmt.Sprintf("%s%d", f.net, last), firstStart: true, target: proxied}
+	h.settingsPath, h.logPath = filepath.Join(f.dir, name+".toml"), filepath.Join(f.dir, name+".log")
 	if disk {
-		h.folder = filepath.Join(f.dir, name)
+		h.dataDir = filepath.Join(f.dir, name)
 	}
 	return h
 }
 
-// revokeBound is the time within which a withdrawn key must stop.
-const revokeBound = 5 * time.Second
+// revocationLimit is the time after which a revoked key must no longer be accepted.
+const revocationLimit = 5 * time.Second
 
 func (f *fleet) setSeeds(seeds []string) {
 	f.mu.Lock()
@@ -181,21 +182,21 @@
 	f.seeds = seeds
 }
 
-// write writes a host's settings file as it is to be now.
-func (f *fleet) write(h *host) error {
+// writeSettings writes the host's settings file with the current seeds.
+func (f *fleet) writeSettings(h *host) error {
 	f.mu.Lock()
 	seeds := f.seeds
 	f.mu.Unlock()
-	return os.WriteFile(h.settings, []byte(f.encode(h, seeds)), 0o600)
+	return os.WriteFile(h.settingsPath, []byte(f.encodeSettings(h, seeds)), 0o600)
 }
 
-func (f *fleet) encode(h *host, seeds []string) string {
+func (f *fleet) encodeSettings(h *host, seeds []string) string {
 	h.mu.Lock()
-	first := h.first
+	first := h.firstStart
 	h.mu.Unlock()
 	s := platformtest.Settings{
-		Host: h.name, IP: h.ip, Folder: h.folder, Target: h.target, Service: "models", InternalPort: portInternal,
-		FirstStart: first, List: fmt.Sprintf("%s%d:%d", f.net, 5, portList), RevokeMs: revokeBound.Milliseconds(), GraceS: 4,
+		Host: h.name, IP: h.ip, Folder: h.dataDir, Target: h.target, Service: "models", InternalPort: portInternal,
+		FirstStart: first, List: fmt.Sprintf("%s%d:%d", f.net, 5, portList), RevokeMs: revocationLimit.Milliseconds(), GraceS: 4,
 	}
 	for _, ip := range seeds {
 		s.Seeds = append(s.Seeds, fmt.Sprintf("%s:%d", ip, portControl))
@@ -207,10 +208,10 @@
 }
 
 func (f *fleet) start(h *host) error {
-	if err := f.write(h); err != nil {
+	if err := f.writeSettings(h); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(h.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(h.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -218,9 +219,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.cmd = exec.Command(f.binary, "platform")
-	h.cmd.Env = []string{platform.SettingsVariable + "=" + h.settings}
+	h.cmd.Env = []string{platform.SettingsVariable + "=" + h.settingsPath}
 	h.cmd.Stdout, h.cmd.Stderr = log, log
-	h.first, h.started = false, time.Now()
+	h.firstStart, h.started = false, time.Now()
 	return h.cmd.Start()
 }
 
@@ -230,7 +231,7 @@
 	return time.Since(h.started) > d
 }
 
-// signal sends a signal to the host's process, which this fleet started.
+// signal sends a signal to the host's process, if this fleet has started one.
 func (h *host) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -239,13 +240,13 @@
 	}
 }
 
-// stopBound is within which a process ends that was told to: its grace of 4 s, and
-// what a busy machine adds.
-const stopBound = 20 * time.Second
+// stopTimeout is the time within which a process must exit after a signal: its grace
+// period of 4 s plus a margin for a busy machine.
+const stopTimeout = 20 * time.Second
 
-// end ends the process by a signal. It reports whether it ended in time; one that did
-// not is killed.
-func (h *host) end(s syscall.Signal) bool {
+// stop ends the process with a signal. If it has not exited within stopTimeout, stop kills
+// it and returns false.
+func (h *host) stop(s syscall.Signal) bool {
 	h.signal(s)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -254,13 +255,13 @@
 	}
 	ended := make(chan struct{})
 	go func() {
-		_ = h.cmd.Wait() // how it ended is not asked
+		_ = h.cmd.Wait() // the exit status is not checked
 		close(ended)
 	}()
 	inTime := true
 	select {
 	case <-ended:
-	case <-time.After(stopBound):
+	case <-time.After(stopTimeout):
 		inTime = false
 		_ = h.cmd.Process.Kill()
 		<-ended
@@ -269,37 +270,38 @@
 	return inTime
 }
 
-// wipe loses the host's disk.
-func (h *host) wipe() error {
-	if h.folder == "" {
+// removeData removes the host's data directory, as the loss of its disk does.
+func (h *host) removeData() error {
+	if h.dataDir == "" {
 		return nil
 	}
-	return os.RemoveAll(h.folder)
+	return os.RemoveAll(h.dataDir)
 }
 
 func (f *fleet) close() {
 	for _, h := range f.hosts {
-		h.end(syscall.SIGKILL)
+		h.stop(syscall.SIGKILL)
 	}
 	for _, l := range f.listeners {
 		_ = l.Close()
 	}
-	_ = f.list.Close() // last: its address stands for all the others
+	_ = f.listListener.Close() // last, because it reserves the fleet's addresses
 }
 
-// claim takes a host for one fault that ends its process.
+// claim reserves a host for one fault that stops or pauses its process or corrupts its
+// settings. It returns false if another fault holds the host.
 func (h *host) claim() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.taken {
+	if h.claimed {
 		return false
 	}
-	h.taken = true
+	h.claimed = true
 	return true
 }
 
 func (h *host) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.taken = false
+	h.claimed = false
 }
--- a/soak/moves.go
+++ b/soak/moves.go
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// seedCount is how many seeds a settings file names.
-const seedCount = 3
+// seedsPerFile is the number of seed addresses in a settings file.
+const seedsPerFile = 3
 
-// move changes the seeds of the settings and stops all processes, in series that overlap
-// with the other trouble, until the context ends.
-func move(ctx context.Context, f *fleet, r *rand.Rand) {
-	for pause(ctx, time.Duration(300+r.IntN(1500))*time.Millisecond); ctx.Err() == nil; {
+// reconfigure changes the seeds in the settings files, corrupts settings files and
+// restarts all processes, until the context ends. It runs concurrently with the other
+// faults.
+func reconfigure(ctx context.Context, f *fleet, r *rand.Rand) {
+	for sleep(ctx, time.Duration(300+r.IntN(1500))*time.Millisecond); ctx.Err() == nil; {
 		own := rand.New(rand.NewPCG(r.Uint64(), r.Uint64()))
 		switch draw := r.IntN(6); {
 		case draw < 3:
-			f.moveSeeds(own)
+			f.changeSeeds(own)
 		case draw < 4:
-			f.faults.Go(func() { f.spoilSettings(ctx, own) })
+			f.activeFaults.Go(func() { f.corruptSettings(ctx, own) })
 		default:
-			f.stopAll(ctx, own)
+			f.restartAll(ctx, own)
 		}
-		pause(ctx, time.Duration(500+r.IntN(3000))*time.Millisecond)
+		sleep(ctx, time.Duration(500+r.IntN(3000))*time.Millisecond)
 	}
 }
 
-// moveSeeds names other hosts as seeds, with and without a disk. Some settings files are
-// written anew at once, with or without a signal, the others when their process starts
-// next.
-func (f *fleet) moveSeeds(r *rand.Rand) {
+// changeSeeds chooses new seed hosts, with or without a disk. Some settings files are
+// rewritten immediately, with or without SIGHUP; the others when their process next
+// starts.
+func (f *fleet) changeSeeds(r *rand.Rand) {
 	var seeds []string
-	for _, i := range r.Perm(len(f.hosts))[:seedCount] {
+	for _, i := range r.Perm(len(f.hosts))[:seedsPerFile] {
 		seeds = append(seeds, f.hosts[i].ip)
 	}
 	f.setSeeds(seeds)
@@ -42,43 +43,43 @@
 		if !now {
 			continue
 		}
-		if err := f.write(h); err != nil {
-			f.journal.fail("%s: settings not written: %v", h.name, err)
+		if err := f.writeSettings(h); err != nil {
+			f.history.addFailure("%s: writing the settings file: %v", h.name, err)
 		}
-		if signal && h.olderThan(reloadAfter) {
+		if signal && h.olderThan(signalReadyAfter) {
 			h.signal(syscall.SIGHUP)
 		}
 	}
 }
 
-// spoilSettings leaves a host with a settings file that cannot be read, or names no seeds,
-// for a while.
-func (f *fleet) spoilSettings(ctx context.Context, r *rand.Rand) {
-	h := anyHost(f, r)
+// corruptSettings temporarily replaces a host's settings file by one that cannot be parsed
+// or that has no seeds.
+func (f *fleet) corruptSettings(ctx context.Context, r *rand.Rand) {
+	h := randomHost(f, r)
 	if !h.claim() {
-		return // another fault has this host
+		return // another fault has claimed this host
 	}
 	defer h.release()
 	text := "Seeds = ["
 	if r.IntN(2) == 0 {
-		text = f.encode(h, nil)
+		text = f.encodeSettings(h, nil)
 	}
-	if err := os.WriteFile(h.settings, []byte(text), 0o600); err != nil {
-		f.journal.fail("%s: settings not written: %v", h.name, err)
+	if err := os.WriteFile(h.settingsPath, []byte(text), 0o600); err != nil {
+		f.history.addFailure("%s: writing the settings file: %v", h.name, err)
 	}
-	if h.olderThan(reloadAfter) {
+	if h.olderThan(signalReadyAfter) {
 		h.signal(syscall.SIGHUP)
 	}
-	hold(ctx, r, 500*time.Millisecond, 4*time.Second)
-	if err := f.write(h); err != nil {
-		f.journal.fail("%s: settings not written: %v", h.name, err)
+	sleepBetween(ctx, r, 500*time.Millisecond, 4*time.Second)
+	if err := f.writeSettings(h); err != nil {
+		f.history.addFailure("%s: writing the settings file: %v", h.name, err)
 	}
 }
 
-// stopAll kills all processes at once and starts them again.
-func (f *fleet) stopAll(ctx context.Context, r *rand.Rand) {
+// restartAll kills and restarts all processes concurrently.
+func (f *fleet) restartAll(ctx context.Context, r *rand.Rand) {
 	for _, h := range f.hosts {
 		own := rand.New(rand.NewPCG(r.Uint64(), r.Uint64()))
-		f.faults.Go(func() { f.replace(ctx, h, syscall.SIGKILL, own) })
+		f.activeFaults.Go(func() { f.restart(ctx, h, syscall.SIGKILL, own) })
 	}
 }
--- a/soak/oracle.go
+++ b/soak/oracle.go
@@ -8,141 +8,143 @@
 	"time"
 )
 
-// The promises that are checked, at any time and under any fault:
+// The invariants checked at any time and under any fault:
 //
-//   - what may not be repeated runs at most once;
-//   - a request that was refused as not run has not run and never does;
-//   - an answer that looks whole is the whole answer of a target to this request;
-//   - a stream has each event once, in order, and ends only after its last one;
-//   - a request runs for its key's workspace, and no target sees a key;
-//   - a read of the deployment is never older than what was acknowledged before it;
-//   - what was acknowledged is there at the end;
-//   - a withdrawn key runs nothing that was sent later than the bound after its
-//     withdrawal was acknowledged;
-//   - no target is ordered to hold more than fits;
-//   - a process that is told to stop ends.
+//   - a non-idempotent request runs at most once;
+//   - a request rejected as not run has not run and never does;
+//   - a response that arrives complete is a target's complete response to this request;
+//   - a stream has each event once, in order, and ends only after the last one;
+//   - a request runs for its key's workspace, and no target receives a key;
+//   - a read of the deployment is never older than the version acknowledged before it;
+//   - an acknowledged deployment is still there at the end;
+//   - a revoked key runs no request sent more than revocationLimit after its revocation
+//     was acknowledged;
+//   - no target is ordered to hold more models than fit;
+//   - a process exits within stopTimeout of SIGTERM.
 
-// journal collects what was seen.
-type journal struct {
+// history records the requests sent and the runs seen by targets, and the violations found
+// meanwhile.
+type history struct {
 	mu       sync.Mutex
 	runs     map[string][]Run
-	sent     map[string]*sent
+	sent     map[string]*sentRequest
 	failures []string
 	counts   map[int]int
 }
 
-// sent is one request of a client.
-type sent struct {
+// sentRequest is one request of a client and its response.
+type sentRequest struct {
 	id, path, workspace string
 	key                 string
-	repeatable          bool
+	idempotent          bool
 	stream              bool
-	at                  time.Time
-	status              int // 0: no answer
+	sentAt              time.Time
+	status              int // 0 if there was no response
 	stamped             bool
 	body                string
-	whole               bool
+	complete            bool
 }
 
-func newJournal() *journal {
-	return &journal{runs: map[string][]Run{}, sent: map[string]*sent{}, counts: map[int]int{}}
+func newHistory() *history {
+	return &history{runs: map[string][]Run{}, sent: map[string]*sentRequest{}, counts: map[int]int{}}
 }
 
-func (j *journal) fail(format string, args ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.failures = append(j.failures, fmt.Sprintf(format, args...))
+func (h *history) addFailure(format string, args ...any) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.failures = append(h.failures, fmt.Sprintf(format, args...))
 }
 
-func (j *journal) ran(r Run) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.runs[r.Request] = append(j.runs[r.Request], r)
+func (h *history) recordRun(r Run) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.runs[r.Request] = append(h.runs[r.Request], r)
 }
 
-func (j *journal) begin(s *sent) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.sent[s.id] = s
+func (h *history) recordSent(s *sentRequest) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.sent[s.id] = s
 }
 
-func (j *journal) end(s *sent) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.counts[s.status]++
+func (h *history) recordStatus(s *sentRequest) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.counts[s.status]++
 }
 
-// promisesNotRun are the statuses that say that a request has not run and never will.
-var promisesNotRun = map[int]bool{
+// notRunStatuses are the statuses by which the server states that a request has not run
+// and never will.
+var notRunStatuses = map[int]bool{
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-// verdict checks all that was seen and returns what broke a promise.
-func (j *journal) verdict() []string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for id, runs := range j.runs {
-		s := j.sent[id]
+// check checks the recorded requests and runs, and returns all violations.
+func (h *history) check() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, runs := range h.runs {
+		s := h.sent[id]
 		if s == nil {
-			j.failures = append(j.failures, fmt.Sprintf("request %q ran and no client sent it", id))
+			h.failures = append(h.failures, fmt.Sprintf("request %q ran, but no client sent it", id))
 			continue
 		}
-		j.judge(s, runs)
+		h.checkRuns(s, runs)
 	}
-	for _, s := range j.sent {
-		j.judgeAnswer(s)
+	for _, s := range h.sent {
+		h.checkResponse(s)
 	}
-	return j.failures
+	return h.failures
 }
 
-func (j *journal) judge(s *sent, runs []Run) {
-	if !s.repeatable && len(runs) > 1 {
-		j.failures = append(j.failures, fmt.Sprintf("%s %s ran %d times: %v", s.path, s.id, len(runs), runs))
+func (h *history) checkRuns(s *sentRequest, runs []Run) {
+	if !s.idempotent && len(runs) > 1 {
+		h.failures = append(h.failures, fmt.Sprintf("%s %s ran %d times: %v", s.path, s.id, len(runs), runs))
 	}
-	if !s.repeatable && promisesNotRun[s.status] && !s.stamped {
-		j.failures = append(j.failures, fmt.Sprintf("%s %s was refused with %d and ran: %v", s.path, s.id, s.status, runs))
+	if !s.idempotent && notRunStatuses[s.status] && !s.stamped {
+		h.failures = append(h.failures, fmt.Sprintf("%s %s was rejected as not run with status %d, but ran: %v", s.path, s.id, s.status, runs))
 	}
 	for _, r := range runs {
 		if r.Workspace != s.workspace || r.Key != "" {
-			j.failures = append(j.failures, fmt.Sprintf("%s ran for %q with key %q, it is of %q", s.id, r.Workspace, r.Key, s.workspace))
+			h.failures = append(h.failures, fmt.Sprintf("%s ran for workspace %q with key %q at the target, want workspace %q and no key", s.id, r.Workspace, r.Key, s.workspace))
 		}
 	}
 }
 
-func (j *journal) judgeAnswer(s *sent) {
-	if s.status != http.StatusOK || !s.whole {
+func (h *history) checkResponse(s *sentRequest) {
+	if s.status != http.StatusOK || !s.complete {
 		return
 	}
 	want := "answer to " + s.id
 	if s.stream {
 		var b strings.Builder
-		for i := 1; i <= events; i++ {
-			fmt.Fprintf(&b, "id: %d\ndata: %s %d of %d\n\n", i, s.id, i, events)
+		for i := 1; i <= streamEvents; i++ {
+			fmt.Fprintf(&b, "id: %d\ndata: %s %d of %d\n\n", i, s.id, i, streamEvents)
 		}
 		want = b.String()
 	}
 	if s.body != want || !s.stamped {
-		j.failures = append(j.failures, fmt.Sprintf("%s %s: the answer looks whole and is %q (stamped: %v)", s.path, s.id, s.body, s.stamped))
+		h.failures = append(h.failures, fmt.Sprintf("%s %s: the response is complete, but is %q (stamped: %v)", s.path, s.id, s.body, s.stamped))
 	}
 }
 
-// judgeRevoked checks that a withdrawn key ran nothing that was sent too late.
-func (f *fleet) judgeRevoked(o *operator) {
-	if o.revoked.IsZero() {
+// checkRevokedKey checks that a revoked key ran no request sent after revocationLimit.
+func (f *fleet) checkRevokedKey(o *operator) {
+	if o.revokedAt.IsZero() {
 		return
 	}
-	f.journal.mu.Lock()
-	defer f.journal.mu.Unlock()
-	for id, runs := range f.journal.runs {
-		if s := f.journal.sent[id]; s != nil && s.key == "key-2" && s.at.After(o.revoked.Add(revokeBound)) {
-			f.journal.failures = append(f.journal.failures, fmt.Sprintf("%s ran %v after its key was withdrawn: %v", id, s.at.Sub(o.revoked), runs))
+	f.history.mu.Lock()
+	defer f.history.mu.Unlock()
+	for id, runs := range f.history.runs {
+		if s := f.history.sent[id]; s != nil && s.key == "key-2" && s.sentAt.After(o.revokedAt.Add(revocationLimit)) {
+			f.history.failures = append(f.history.failures, fmt.Sprintf("%s was sent %v after its key was revoked, and ran: %v", id, s.sentAt.Sub(o.revokedAt), runs))
 		}
 	}
 }
 
-func (j *journal) served() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.counts[http.StatusOK]
+func (h *history) okResponses() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.counts[http.StatusOK]
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// proxy stands before a target and harms the connections through it.
+// proxy forwards connections to a target and injects link faults.
 type proxy struct {
 	backend string
 
-	mu    sync.Mutex
-	harm  string // "", delay, reset, silent, oneway
-	conns map[net.Conn]bool
+	mu        sync.Mutex
+	linkFault string // "", delay, reset, silent, oneway
+	conns     map[net.Conn]bool
 }
 
-// proxyDelay is what a delayed piece waits: several round trips between zones.
+// proxyDelay is the delay of each chunk under the delay fault: several round trips between
+// zones.
 const proxyDelay = 30 * time.Millisecond
 
 func (p *proxy) serve(l net.Listener) {
@@ -32,12 +33,13 @@
 	}()
 }
 
-// set changes the harm; reset breaks what is open now.
-func (p *proxy) set(harm string) {
+// setFault sets the link fault. reset only closes the connections open now, and leaves no
+// fault set.
+func (p *proxy) setFault(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.harm = harm
-	if harm != "reset" {
+	p.linkFault = name
+	if name != "reset" {
 		return
 	}
 	for c := range p.conns {
@@ -46,13 +48,13 @@
 		}
 		_ = c.Close()
 	}
-	p.harm = ""
+	p.linkFault = ""
 }
 
-func (p *proxy) now() string {
+func (p *proxy) currentFault() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.harm
+	return p.linkFault
 }
 
 func (p *proxy) relay(c net.Conn) {
@@ -72,22 +74,23 @@
 	p.mu.Unlock()
 }
 
-// pipe copies one way; answers says which. A connection that was silenced stays so for
-// good: TCP never gives later bytes where earlier ones are missing. Passing them on after
-// the silence left streams that were whole to look at and lacked events in their middle.
-func (p *proxy) pipe(to, from net.Conn, answers bool) {
+// pipe copies one direction of a connection; fromTarget is true from the target to the
+// client. Once it has dropped data it forwards nothing more in this direction, because
+// TCP never delivers bytes after a gap. Forwarding again produced streams that looked
+// complete and lacked events in the middle.
+func (p *proxy) pipe(to, from net.Conn, fromTarget bool) {
 	defer to.Close()
 	buffer := make([]byte, 32<<10)
-	silenced := false
+	dropped := false
 	for {
 		n, err := from.Read(buffer)
-		switch harm := p.now(); {
-		case harm == "silent" || harm == "oneway" && answers:
-			silenced = true
-		case harm == "delay":
+		switch active := p.currentFault(); {
+		case active == "silent" || active == "oneway" && fromTarget:
+			dropped = true
+		case active == "delay":
 			<-time.After(proxyDelay)
 		}
-		if silenced {
+		if dropped {
 			n = 0
 		}
 		if n > 0 {
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A caller's stream lacked events in its middle and looked whole. The proxy before its
-// target was silent for a moment: it dropped three events, each in a chunk of its own, and
-// passed on the rest. A path that loses bytes for good gives nothing after them.
+// A connection that lost data must deliver nothing more. The proxy dropped three events of
+// a stream while it was silent and forwarded the rest, so that the stream lacked events in
+// the middle and looked complete.
 func TestASilencedConnectionStaysSilent(t *testing.T) {
 	g := NewWithT(t)
 	back, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -45,14 +45,14 @@
 		g.Expect(err).NotTo(HaveOccurred())
 	}
 	say("a")
-	g.Eventually(got, comeBack).Should(Receive(Equal("a")))
-	p.set("oneway")
+	g.Eventually(got, recoveryTimeout).Should(Receive(Equal("a")))
+	p.setFault("oneway")
 	say("b")
 	g.Consistently(got, 100*time.Millisecond).ShouldNot(Receive())
-	p.set("")
+	p.setFault("")
 	say("c")
 	g.Expect(target.Close()).To(Succeed())
 	var after string
-	g.Eventually(got, comeBack).Should(Receive(&after))
-	g.Expect(after).To(Equal("EOF"), "nothing comes after what was lost")
+	g.Eventually(got, recoveryTimeout).Should(Receive(&after))
+	g.Expect(after).To(Equal("EOF"), "no data is delivered after the lost data")
 }
--- a/soak/target.go
+++ b/soak/target.go
@@ -12,32 +12,32 @@
 	"cowsliptiller/platform/platformtest"
 )
 
-// Run is one run of a request at a target.
+// Run is one execution of a request by a target.
 type Run struct {
 	Request, Target, Workspace, Key string
 	At                              time.Time
 }
 
-// target is a stand-in for a platform's target: it holds models, takes orders and
-// runs requests, and does them harm when told.
+// target simulates a platform target: it holds models, executes orders and requests, and
+// can fail requests in a selected way.
 type target struct {
 	service, address string
-	journal          *journal
+	history          *history
 
-	mu     sync.Mutex
-	id     string
-	starts int
-	seq    uint64
-	models map[string]bool
-	down   bool
-	mood   string // what it does to requests: "", refuse, reset, hang, break
+	mu          sync.Mutex
+	id          string
+	starts      int
+	seq         uint64
+	models      map[string]bool
+	down        bool
+	failureMode string // how requests fail: "" (they succeed), refuse, reset, hang or break
 }
 
-// The work of a stand-in: short, so that a run sees thousands of requests.
+// Simulated work, kept short so that a run executes thousands of requests.
 const (
-	plainWork  = 10 * time.Millisecond
-	eventPause = 8 * time.Millisecond
-	events     = 12
+	plainDelay    = 10 * time.Millisecond
+	eventInterval = 8 * time.Millisecond
+	streamEvents  = 12
 )
 
 func (t *target) serve(l net.Listener) {
@@ -56,16 +56,15 @@
 	}
 }
 
-func (t *target) set(mood string) {
+func (t *target) setFailureMode(mode string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mood = mood
+	t.failureMode = mode
 }
 
-// ServeHTTP implements http.Handler.
 func (t *target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	t.mu.Lock()
-	down, id, mood := t.down, t.id, t.mood
+	down, id, mode := t.down, t.id, t.failureMode
 	t.mu.Unlock()
 	if down {
 		panic(http.ErrAbortHandler)
@@ -74,25 +73,25 @@
 	case "/health":
 		w.Header().Set(platform.HeaderSelf, id)
 	case "/report":
-		t.report(w)
+		t.handleReport(w)
 	case "/order":
-		t.order(w, r)
+		t.handleOrder(w, r)
 	default:
-		t.run(w, r, id, mood)
+		t.handleRequest(w, r, id, mode)
 	}
 }
 
-func (t *target) report(w io.Writer) {
+func (t *target) handleReport(w io.Writer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := platformtest.Report{Orders: t.seq, Models: map[string][]string{}}
 	for m := range t.models {
 		r.Models[m] = nil
 	}
-	_ = r.Write(w) // an agent that has gone does not read it
+	_ = r.Write(w) // fails if the agent has disconnected
 }
 
-func (t *target) order(w http.ResponseWriter, r *http.Request) {
+func (t *target) handleOrder(w http.ResponseWriter, r *http.Request) {
 	o, err := platformtest.ReadOrder(r.Body)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,8 +112,8 @@
 	} else {
 		delete(t.models, o.Model)
 	}
-	if len(t.models) > modelsFit {
-		t.journal.fail("target %s was ordered to hold %d models, %d fit", t.address, len(t.models), modelsFit)
+	if len(t.models) > modelCapacity {
+		t.history.addFailure("target %s was ordered to hold %d models, but only %d fit", t.address, len(t.models), modelCapacity)
 	}
 	w.WriteHeader(http.StatusAccepted)
 }
@@ -125,7 +124,7 @@
 	return model == "" || t.models[model]
 }
 
-func (t *target) run(w http.ResponseWriter, r *http.Request, id, mood string) {
+func (t *target) handleRequest(w http.ResponseWriter, r *http.Request, id, mode string) {
 	request := r.Header.Get(platform.HeaderRequestID)
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set(platform.HeaderRequestID, request)
@@ -134,13 +133,13 @@
 		w.Header().Set(platform.HeaderSelf, id)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
-	case mood == "refuse":
+	case mode == "refuse":
 		w.Header().Set(platform.HeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	t.journal.ran(Run{request, t.address, r.Header.Get(platform.HeaderWorkspace), r.Header.Get("Authorization"), time.Now()})
-	switch mood {
+	t.history.recordRun(Run{request, t.address, r.Header.Get(platform.HeaderWorkspace), r.Header.Get("Authorization"), time.Now()})
+	switch mode {
 	case "reset":
 		panic(http.ErrAbortHandler)
 	case "hang":
@@ -149,30 +148,30 @@
 	}
 	w.Header().Set(platform.HeaderStamp, id)
 	if r.Header.Get(platform.HeaderModel) == "" {
-		<-time.After(plainWork)
+		<-time.After(plainDelay)
 		_, _ = io.WriteString(w, "answer to "+request)
 		return
 	}
-	t.stream(w, r, request, mood == "break")
+	t.stream(w, r, request, mode == "break")
 }
 
-func (t *target) stream(w http.ResponseWriter, r *http.Request, request string, breaks bool) {
+func (t *target) stream(w http.ResponseWriter, r *http.Request, request string, truncate bool) {
 	first := 1
 	if last := r.Header.Get(platform.HeaderLastEvent); last != "" {
 		_, _ = fmt.Sscan(last, &first)
 		first++
 	}
-	for i := first; i <= events; i++ {
-		if breaks && i == first+4 {
+	for i := first; i <= streamEvents; i++ {
+		if truncate && i == first+4 {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", i)
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s %d of %d\n\n", i, request, i, events)
+		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s %d of %d\n\n", i, request, i, streamEvents)
 		w.(http.Flusher).Flush()
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(eventPause):
+		case <-time.After(eventInterval):
 		}
 	}
 }
