--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -21,18 +21,18 @@
 // call is one request of a caller, from its header to its final answer.
 type call struct {
 	platform.Call
-	http      *http.Request
-	index     *deployment.Index
-	route     *coordpb.DeploymentRoute
-	service   *deployment.Service
-	workspace *coordpb.DeploymentWorkspace // nil: the route needs no key
-	body      []byte
-	received  bool // the body is there
-	start     time.Time
-	deadline  time.Time
-	attempts  *request.Call
-	tokens    int64
-	ended     events.Ended
+	http         *http.Request
+	index        *deployment.Index
+	route        *coordpb.DeploymentRoute
+	service      *deployment.Service
+	workspace    *coordpb.DeploymentWorkspace // nil: the route needs no key
+	body         []byte
+	bodyBuffered bool // the body is there
+	start        time.Time
+	deadline     time.Time
+	attempts     *request.Call
+	tokens       int64
+	record       events.Ended
 	// retryExpected says that a target will load the model for the caller's retry.
 	retryExpected bool
 }
@@ -42,8 +42,8 @@
 	return c.route.Idempotent || c.route.Streaming && c.route.Resumable
 }
 
-// patience is how long the caller waits for the first event of a stream.
-func (c *call) patience() time.Duration {
+// waitLimit is how long the caller waits for the first event of a stream.
+func (c *call) waitLimit() time.Duration {
 	if !c.route.Streaming {
 		return c.deadline.Sub(c.start)
 	}
@@ -58,9 +58,9 @@
 	return int(c.route.Rank)
 }
 
-// worth weighs calls against each other where not all can be had: each rank counts
+// value weighs calls against each other where not all can be had: each rank counts
 // half of the one before it.
-func (c *call) worth() float64 { return 1 / float64(int(1)<<min(c.rank(), 8)) }
+func (c *call) value() float64 { return 1 / float64(int(1)<<min(c.rank(), 8)) }
 
 // modelName is the model, or model/adapter, that the call needs; empty for none.
 func (c *call) modelName() string {
@@ -81,29 +81,29 @@
 // fault.NotFound, fault.Unauthenticated.
 func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, start time.Time) (*call, error) {
 	c := &call{Call: platform.ReadCall(r.Header), http: r, start: start, deadline: start.Add(defaultDeadline)}
-	c.ended.Request = c.RequestID
+	c.record.Request = c.RequestID
 	if err := g.awaitIndex(w, c); err != nil {
 		return c, err
 	}
-	c.ended.Version = c.index.Version
+	c.record.Version = c.index.Version
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	c.route = c.index.Route(r.Host, path)
 	if c.route == nil {
 		return c, fault.New(fault.NotFound, "no route for host %q and path %q", r.Host, path)
 	}
-	c.ended.Route = c.route.Name
+	c.record.Route = c.route.Name
 	if c.index.NeedsKey(c.route) {
 		c.workspace = c.index.Holder(c.Key)
 		if c.workspace == nil {
 			return c, fault.New(fault.Unauthenticated, "no workspace holds this key")
 		}
-		c.ended.Workspace = c.workspace.Name
+		c.record.Workspace = c.workspace.Name
 	}
 	c.service = c.index.Service(deployment.ServiceFor(c.route, c.RequestID))
-	c.ended.Service, c.ended.Model = c.service.Name, c.modelName()
+	c.record.Service, c.record.Model = c.service.Name, c.modelName()
 	c.setDeadline()
 	class := request.Class{Name: c.route.Name, Repeatable: c.repeatable()}
-	c.attempts = request.NewCall(c.RequestID, c.ended.Workspace, class, c.deadline)
+	c.attempts = request.NewCall(c.RequestID, c.record.Workspace, class, c.deadline)
 	return c, nil
 }
 
@@ -119,7 +119,7 @@
 // that sends slowly must not hold a place at a target.
 func (g *Gateway) readBody(w http.ResponseWriter, c *call) error {
 	most := c.index.Limits.BodyBytes
-	if err := c.receive(w, most); err != nil {
+	if err := c.bufferBody(w, most); err != nil {
 		return err
 	}
 	if most > 0 && int64(len(c.body)) > most {
@@ -128,9 +128,9 @@
 	return nil
 }
 
-// receive reads the body once, up to a number of bytes; 0: any.
-func (c *call) receive(w http.ResponseWriter, most int64) error {
-	if c.received || c.http.Body == nil || c.http.ContentLength == 0 {
+// bufferBody reads the body once, up to a number of bytes; 0: any.
+func (c *call) bufferBody(w http.ResponseWriter, most int64) error {
+	if c.bodyBuffered || c.http.Body == nil || c.http.ContentLength == 0 {
 		return nil
 	}
 	// The connection keeps working after a deadline that was not reached.
@@ -151,7 +151,7 @@
 	case err != nil:
 		return fault.New(fault.Canceled, "the caller broke off: %v", err)
 	}
-	c.body, c.received = text, true
+	c.body, c.bodyBuffered = text, true
 	if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
 		return fault.New(fault.Internal, "read deadline: %v", err)
 	}
@@ -180,7 +180,7 @@
 	default:
 		c.tokens = c.workspace.DefaultTokens
 	}
-	c.ended.Tokens, c.ended.Rate = c.tokens, c.workspace.Rate
+	c.record.Tokens, c.record.Rate = c.tokens, c.workspace.Rate
 	if s := g.config.Source.Current(); s != nil && s.Deployment != nil {
 		g.configureRate(s)
 	}
--- a/server/gateway/connections.go
+++ b/server/gateway/connections.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// idleGrace is added to the limit that a deployment sets: a caller that uses the
+// idleMargin is added to the limit that a deployment sets: a caller that uses the
 // connection at the last moment must not cross its close.
-const idleGrace = 2 * time.Second
+const idleMargin = 2 * time.Second
 
 // connections keeps the callers' connections. An idle one is closed once it is over
 // the deployment's limit; one with a request never is.
@@ -33,8 +33,8 @@
 	c.servers, c.listeners = append(c.servers, s), append(c.listeners, l)
 }
 
-// note follows the states of a connection.
-func (c *connections) note(conn net.Conn, s http.ConnState) {
+// trackState follows the states of a connection.
+func (c *connections) trackState(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s == http.StateIdle {
@@ -45,17 +45,17 @@
 }
 
 // sweep closes connections that were idle for longer than a limit.
-func (c *connections) sweep(limit time.Duration) { c.closeOlder(limit + idleGrace) }
+func (c *connections) sweep(limit time.Duration) { c.closeIdleFor(limit + idleMargin) }
 
-// idleQuiet is how long a connection is idle before a stopping process closes it:
+// drainIdleTimeout is how long a connection is idle before a stopping process closes it:
 // a request that was sent before its caller saw the last answer's announcement
 // has come by then.
-const idleQuiet = 300 * time.Millisecond
+const drainIdleTimeout = 300 * time.Millisecond
 
-// closeIdle closes idle connections of a process that stops.
-func (c *connections) closeIdle() { c.closeOlder(idleQuiet) }
+// closeDrained closes idle connections of a process that stops.
+func (c *connections) closeDrained() { c.closeIdleFor(drainIdleTimeout) }
 
-func (c *connections) closeOlder(limit time.Duration) {
+func (c *connections) closeIdleFor(limit time.Duration) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/server/gateway/connections_test.go
+++ b/server/gateway/connections_test.go
@@ -23,7 +23,7 @@
 				close(came)
 				<-goOn
 			}
-			c.note(conn, s)
+			c.trackState(conn, s)
 		}}
 		c.add(server, l)
 		go func() { _ = server.Serve(l) }()
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -49,34 +49,34 @@
 
 // Gateway implements process.Role.
 type Gateway struct {
-	config  Config
-	rate    *charging.Rate
-	pool    *upstream.Pool
-	targets *targets
-	callers *connections
-	stop    context.CancelFunc
-	stopped sync.WaitGroup
-
-	mu       sync.Mutex
-	budgets  map[string]*request.FleetBudget // by service
-	waitsEnd time.Time                       // while draining: when left closes
-	draining chan struct{}                   // closed at the order to stop
-	closed   bool                            // takes no request any more
-	left     chan struct{}                   // closed while draining: who still waits for a model is sent elsewhere
-	ended    chan struct{}                   // closed when what still runs must be answered
-	running  int                             // requests that have no final answer yet
+	config      Config
+	rate        *charging.Rate
+	pool        *upstream.Pool
+	targets     *targets
+	connections *connections
+	stop        context.CancelFunc
+	workers     sync.WaitGroup
+
+	mu           sync.Mutex
+	retryBudgets map[string]*request.FleetBudget // by service
+	waitDeadline time.Time                       // while draining: when left closes
+	draining     chan struct{}                   // closed at the order to stop
+	closed       bool                            // takes no request any more
+	rejectWaits  chan struct{}                   // closed while draining: who still waits for a model is sent elsewhere
+	cancelCalls  chan struct{}                   // closed when what still runs must be answered
+	running      int                             // requests that have no final answer yet
 }
 
 // New returns a gateway that has not started.
 func New(c Config) *Gateway {
 	return &Gateway{
-		config:   c,
-		rate:     charging.New(charging.Options{Caller: c.Caller, Control: c.Control, Now: c.Now, Log: c.Log}),
-		pool:     upstream.NewPool(c.Now),
-		targets:  newTargets(c),
-		callers:  newConnections(c.Now),
-		budgets:  map[string]*request.FleetBudget{},
-		draining: make(chan struct{}), left: make(chan struct{}), ended: make(chan struct{}),
+		config:       c,
+		rate:         charging.New(charging.Options{Caller: c.Caller, Control: c.Control, Now: c.Now, Log: c.Log}),
+		pool:         upstream.NewPool(c.Now),
+		targets:      newTargets(c),
+		connections:  newConnections(c.Now),
+		retryBudgets: map[string]*request.FleetBudget{},
+		draining:     make(chan struct{}), rejectWaits: make(chan struct{}), cancelCalls: make(chan struct{}),
 	}
 }
 
@@ -89,17 +89,17 @@
 // Start implements process.Role.
 func (g *Gateway) Start(ctx context.Context) error {
 	ctx, g.stop = context.WithCancel(context.WithoutCancel(ctx))
-	g.stopped.Go(func() { g.rate.Run(ctx) })
-	g.stopped.Go(func() { g.targets.watch(ctx) })
-	g.stopped.Go(func() { g.follow(ctx) })
-	g.stopped.Go(func() { g.sweep(ctx) })
+	g.workers.Go(func() { g.rate.Run(ctx) })
+	g.workers.Go(func() { g.targets.watch(ctx) })
+	g.workers.Go(func() { g.followDeployment(ctx) })
+	g.workers.Go(func() { g.sweepIdle(ctx) })
 	return g.listen()
 }
 
 // sweepInterval is how often idle connections are looked through.
 const sweepInterval = 500 * time.Millisecond
 
-func (g *Gateway) sweep(ctx context.Context) {
+func (g *Gateway) sweepIdle(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
@@ -108,13 +108,13 @@
 			return
 		case <-ticker.C:
 			g.pool.Sweep()
-			g.callers.sweep(g.idleLimit())
+			g.connections.sweep(g.idleLimit())
 		}
 	}
 }
 
-// follow takes each new deployment's limits as soon as it is known.
-func (g *Gateway) follow(ctx context.Context) {
+// followDeployment takes each new deployment's limits as soon as it is known.
+func (g *Gateway) followDeployment(ctx context.Context) {
 	for {
 		changed := g.config.Source.Changed()
 		if s := g.config.Source.Current(); s != nil && s.Deployment != nil {
@@ -150,29 +150,29 @@
 	return s.Routes
 }
 
-// repeat takes one repeat to a service from the fleet's budget; false when none is left.
-func (g *Gateway) repeat(service string) bool {
+// tryRetry takes one tryRetry to a service from the fleet's budget; false when none is left.
+func (g *Gateway) tryRetry(service string) bool {
 	now := g.config.Now()
 	hosts := g.targets.entryHosts()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.budget(service).TryRetry(hosts, now)
+	return g.retryBudget(service).TryRetry(hosts, now)
 }
 
-// firstAttempt notes a request to a service: repeats are a share of these.
-func (g *Gateway) firstAttempt(service string) {
+// recordRequest notes a request to a service: repeats are a share of these.
+func (g *Gateway) recordRequest(service string) {
 	now := g.config.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget(service).RecordRequest(now)
+	g.retryBudget(service).RecordRequest(now)
 }
 
-// budget returns a service's budget of repeats. The caller holds mu.
-func (g *Gateway) budget(service string) *request.FleetBudget {
-	b := g.budgets[service]
+// retryBudget returns a service's retryBudget of repeats. The caller holds mu.
+func (g *Gateway) retryBudget(service string) *request.FleetBudget {
+	b := g.retryBudgets[service]
 	if b == nil {
 		b = &request.FleetBudget{Ratio: g.config.Ratio, Reserve: g.config.Reserve, Window: g.config.Window}
-		g.budgets[service] = b
+		g.retryBudgets[service] = b
 	}
 	return b
 }
--- a/server/gateway/listener.go
+++ b/server/gateway/listener.go
@@ -16,13 +16,13 @@
 	// headerTimeout bounds a header that comes slowly, before any deployment says
 	// how slowly it may come.
 	headerTimeout = 10 * time.Second
-	// maxHeader is the most that a header may have; a deployment's own limit is below.
-	maxHeader = 64 << 10
-	// stopMargin is left of the grace when what still runs is given up: for its
+	// maxHeaderBytes is the most that a header may have; a deployment's own limit is below.
+	maxHeaderBytes = 64 << 10
+	// shutdownMargin is left of the grace when what still runs is given up: for its
 	// answers, and for the end of the process.
-	stopMargin = 900 * time.Millisecond
-	// answerTime is allowed for the answers to what is given up.
-	answerTime = 300 * time.Millisecond
+	shutdownMargin = 900 * time.Millisecond
+	// finalAnswerTimeout is allowed for the answers to what is given up.
+	finalAnswerTimeout = 300 * time.Millisecond
 	// drainPoll is how often a gateway that stops looks whether all is answered.
 	drainPoll = 20 * time.Millisecond
 )
@@ -32,8 +32,8 @@
 		return err
 	}
 	server := &http.Server{
-		Handler: http.HandlerFunc(g.ServeHTTP), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeader,
-		ConnState: g.callers.note,
+		Handler: http.HandlerFunc(g.ServeHTTP), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: g.connections.trackState,
 	}
 	// No idle timeout of the server's own: it changes with the deployment, see sweep.
 	return g.serve(g.config.Listen, server)
@@ -47,9 +47,9 @@
 	if err != nil {
 		return fault.New(fault.InvalidRequest, "listen on %s: %v", address, err)
 	}
-	g.callers.add(server, l)
+	g.connections.add(server, l)
 	go func() {
-		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) && !g.leaving() {
+		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) && !g.isDraining() {
 			g.config.Log.Error("listener ended", "address", address, "error", err)
 		}
 	}()
@@ -68,11 +68,11 @@
 // force refuses every request: callers are better off elsewhere.
 func (g *Gateway) Ready() error {
 	switch {
-	case g.leaving():
+	case g.isDraining():
 		return fault.New(fault.Leaving, "shutting down")
 	case g.index() == nil:
 		return fault.New(fault.Stale, "no deployment is surely in force")
-	case !g.targets.answered():
+	case !g.targets.boardAnswered():
 		return fault.New(fault.Unavailable, "no target is known yet")
 	}
 	return nil
@@ -81,22 +81,22 @@
 // ServeHTTP takes one request. It gives exactly one final answer, at once when the
 // request is given up.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.count(1)
-	defer g.count(-1)
+	g.addRunning(1)
+	defer g.addRunning(-1)
 	start := g.config.Now()
 	c, err := g.admit(w, r, start)
-	if err == nil && g.shut() {
-		err = fault.After(fault.Leaving, leavingRetryAfter, "this host has stopped taking requests")
+	if err == nil && g.isClosed() {
+		err = fault.After(fault.Leaving, drainRetryAfter, "this host has stopped taking requests")
 	}
 	if err != nil {
-		g.end(w, c, false, err)
+		g.finish(w, c, false, err)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	defer g.until(g.ended, cancel)()
+	defer g.cancelOnClose(g.cancelCalls, cancel)()
 	answered, err := g.serveCall(ctx, w, c)
-	g.end(w, c, answered, err)
+	g.finish(w, c, answered, err)
 }
 
 func (g *Gateway) serveCall(ctx context.Context, w http.ResponseWriter, c *call) (answered bool, err error) {
@@ -114,10 +114,10 @@
 	return answered, err
 }
 
-// end gives the final answer, where none has begun to go out, and notes it.
-func (g *Gateway) end(w http.ResponseWriter, c *call, answered bool, err error) {
+// finish gives the final answer, where none has begun to go out, and notes it.
+func (g *Gateway) finish(w http.ResponseWriter, c *call, answered bool, err error) {
 	if err == nil {
-		g.note(c, nil)
+		g.recordEnd(c, nil)
 		return
 	}
 	f := fault.From(err)
@@ -127,27 +127,27 @@
 		}
 	}
 	if answered {
-		g.note(c, f)
+		g.recordEnd(c, f)
 		// The answer must not look whole: the connection is broken off.
 		panic(http.ErrAbortHandler)
 	}
 	g.refuse(w, c, f)
-	g.note(c, f)
+	g.recordEnd(c, f)
 }
 
-func (g *Gateway) count(n int) {
+func (g *Gateway) addRunning(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running += n
 }
 
-func (g *Gateway) unfinished() int {
+func (g *Gateway) runningCalls() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.running
 }
 
-func (g *Gateway) leaving() bool {
+func (g *Gateway) isDraining() bool {
 	select {
 	case <-g.draining:
 		return true
@@ -156,56 +156,56 @@
 	}
 }
 
-// modelLimit bounds a wait for a model by what is left until this host stops.
-func (g *Gateway) modelLimit(limit time.Duration) time.Duration {
+// boundModelWait bounds a wait for a model by what is left until this host stops.
+func (g *Gateway) boundModelWait(limit time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.waitsEnd.IsZero() {
+	if g.waitDeadline.IsZero() {
 		return limit
 	}
-	return min(limit, g.waitsEnd.Sub(g.config.Now()))
+	return min(limit, g.waitDeadline.Sub(g.config.Now()))
 }
 
-// sendsAway reports whether calls that wait for a model are sent to other hosts: this
+// rejectsWaits reports whether calls that wait for a model are sent to other hosts: this
 // one stops before their answers could end.
-func (g *Gateway) sendsAway() bool {
+func (g *Gateway) rejectsWaits() bool {
 	select {
-	case <-g.left:
+	case <-g.rejectWaits:
 		return true
 	default:
 		return false
 	}
 }
 
-func (g *Gateway) shut() bool {
+func (g *Gateway) isClosed() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.closed
 }
 
-// defaultIdle is how long an idle connection is kept before any deployment says.
-const defaultIdle = time.Minute
+// defaultIdleTimeout is how long an idle connection is kept before any deployment says.
+const defaultIdleTimeout = time.Minute
 
 func (g *Gateway) idleLimit() time.Duration {
 	if s := g.config.Source.Current(); s != nil && s.Routes != nil && s.Routes.Limits.IdleTimeoutMs > 0 {
 		return time.Duration(s.Routes.Limits.IdleTimeoutMs) * time.Millisecond
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 // Drain implements process.Role: not ready first, then, once the platform has seen
 // that, no new connections, then what runs to its end.
 func (g *Gateway) Drain(ctx context.Context) error {
 	start := g.config.Now()
-	end := start.Add(g.config.Grace - stopMargin)
-	waitsFor := request.ShutdownWait(end.Sub(start), g.targets.longestRun())
-	waits := time.AfterFunc(waitsFor, func() { close(g.left) })
+	end := start.Add(g.config.Grace - shutdownMargin)
+	waitsFor := request.ShutdownWait(end.Sub(start), g.targets.longestMeanRun())
+	waits := time.AfterFunc(waitsFor, func() { close(g.rejectWaits) })
 	defer waits.Stop()
 	g.mu.Lock()
-	g.waitsEnd = start.Add(waitsFor)
+	g.waitDeadline = start.Add(waitsFor)
 	g.mu.Unlock()
 	close(g.draining)
-	if !wait(ctx, g.config.DrainLook) {
+	if !sleep(ctx, g.config.DrainLook) {
 		return ctx.Err()
 	}
 	// The platform sends nobody here any more unless all hosts of the failure domain
@@ -213,24 +213,24 @@
 	g.mu.Lock()
 	g.closed = true
 	g.mu.Unlock()
-	g.callers.closeListeners()
-	g.callers.closeIdle()
-	for g.unfinished() > 0 && g.config.Now().Before(end) {
-		if !wait(ctx, drainPoll) {
+	g.connections.closeListeners()
+	g.connections.closeDrained()
+	for g.runningCalls() > 0 && g.config.Now().Before(end) {
+		if !sleep(ctx, drainPoll) {
 			return ctx.Err()
 		}
-		g.callers.closeIdle()
+		g.connections.closeDrained()
 	}
-	close(g.ended)
-	for g.unfinished() > 0 && g.config.Now().Before(end.Add(answerTime)) {
-		if !wait(ctx, drainPoll) {
+	close(g.cancelCalls)
+	for g.runningCalls() > 0 && g.config.Now().Before(end.Add(finalAnswerTimeout)) {
+		if !sleep(ctx, drainPoll) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -244,13 +244,13 @@
 // Close implements process.Role.
 func (g *Gateway) Close() error {
 	g.stop()
-	g.callers.close()
-	g.stopped.Wait()
+	g.connections.close()
+	g.workers.Wait()
 	return nil
 }
 
-// until cancels when a channel is closed, unless it is told to stop before.
-func (g *Gateway) until(closed <-chan struct{}, cancel context.CancelFunc) (stop func()) {
+// cancelOnClose cancels when a channel is closed, unless it is told to stop before.
+func (g *Gateway) cancelOnClose(closed <-chan struct{}, cancel context.CancelFunc) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		select {
--- a/server/gateway/metrics.go
+++ b/server/gateway/metrics.go
@@ -12,10 +12,10 @@
 // Metrics of a gateway. Label values are bounded by the deployment's routes and
 // services and by the closed list of error kinds.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
-	failed   *prometheus.CounterVec
+	requests  *prometheus.CounterVec
+	latency   *prometheus.HistogramVec
+	firstByte *prometheus.HistogramVec
+	failed    *prometheus.CounterVec
 }
 
 // latencyBuckets span a plain call of some ten milliseconds and a cold model's half minute.
@@ -28,20 +28,20 @@
 			Help: "Requests by their final answer."}, []string{"route", "status", "kind"}),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "cowslip_gateway_request_seconds",
 			Help: "Time to the end of the answer.", Buckets: latencyBuckets}, []string{"route"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "cowslip_gateway_first_byte_seconds",
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "cowslip_gateway_first_byte_seconds",
 			Help: "Time to the first byte of a target's answer.", Buckets: latencyBuckets}, []string{"route"}),
 		failed: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cowslip_gateway_attempts_failed_total",
 			Help: "Attempts at targets that did not serve their request."}, []string{"service", "kind"}),
 	}
-	r.MustRegister(m.requests, m.latency, m.first, m.failed)
+	r.MustRegister(m.requests, m.latency, m.firstByte, m.failed)
 	return m
 }
 
-func (m *Metrics) ended(e events.Ended) {
+func (m *Metrics) observe(e events.Ended) {
 	m.requests.WithLabelValues(e.Route, strconv.Itoa(e.Status), string(e.Kind)).Inc()
 	m.latency.WithLabelValues(e.Route).Observe(e.Took.Seconds())
 	if e.First > 0 {
-		m.first.WithLabelValues(e.Route).Observe(e.First.Seconds())
+		m.firstByte.WithLabelValues(e.Route).Observe(e.First.Seconds())
 	}
 }
 
--- a/server/gateway/models.go
+++ b/server/gateway/models.go
@@ -11,44 +11,44 @@
 
 // Bounds of waiting for a model.
 const (
-	// maxHomes is how many agents are asked for a model, one after the other.
-	maxHomes = 3
-	// maxAwaited bounds how often one call waits: a model that was dropped again
+	// maxLoadTargets is how many agents are asked for a model, one after the other.
+	maxLoadTargets = 3
+	// maxModelWaits bounds how often one call waits: a model that was dropped again
 	// before the call arrived is asked for once more.
-	maxAwaited = 4
-	// ensureSlack is left of a caller's patience for the way to the target and its
+	maxModelWaits = 4
+	// ensureMargin is left of a caller's patience for the way to the target and its
 	// first token.
-	ensureSlack = 150 * time.Millisecond
-	// coldRetryAfter is suggested where no agent said when it can be.
-	coldRetryAfter = time.Second
-	// leavingRetryAfter: another host takes the request at once.
-	leavingRetryAfter = 50 * time.Millisecond
+	ensureMargin = 150 * time.Millisecond
+	// loadRetryAfter is suggested where no agent said when it can be.
+	loadRetryAfter = time.Second
+	// drainRetryAfter: another host takes the request at once.
+	drainRetryAfter = 50 * time.Millisecond
 )
 
-// cold gets the call's model loaded somewhere. It is called where no target that may
+// loadModel gets the call's model loaded somewhere. It is called where no target that may
 // still be tried holds it.
-func (t *tries) cold(ctx context.Context) (place, error) {
+func (t *retryState) loadModel(ctx context.Context) (destination, error) {
 	g, c := t.gateway, t.call
-	if t.awaited >= maxAwaited {
-		return place{}, fault.After(fault.NoCapacity, coldRetryAfter, "model %q does not stay loaded", c.modelName())
+	if t.modelWaits >= maxModelWaits {
+		return destination{}, fault.After(fault.NoCapacity, loadRetryAfter, "model %q does not stay loaded", c.modelName())
 	}
-	t.awaited++
-	homes := g.targets.homes(c.service.Name, loadTimes(c), t.exclude)
-	err := error(fault.After(fault.NoCapacity, coldRetryAfter, "no target can load model %q", c.modelName()))
-	for _, home := range homes[:min(maxHomes, len(homes))] {
+	t.modelWaits++
+	homes := g.targets.loadCandidates(c.service.Name, loadTimes(c), t.excluded)
+	err := error(fault.After(fault.NoCapacity, loadRetryAfter, "no target can load model %q", c.modelName()))
+	for _, home := range homes[:min(maxLoadTargets, len(homes))] {
 		loadedForRetry := c.retryExpected // by an earlier home, whose time to retry is the answer
 		refusal := g.ensure(ctx, c, home)
 		if refusal == nil {
-			return place{Status: home, query: g.targets.queryFor(c)}, nil
+			return destination{Status: home, query: g.targets.routingRequest(c)}, nil
 		}
 		if ctx.Err() != nil {
-			return place{}, ended(ctx)
+			return destination{}, contextError(ctx)
 		}
 		if !loadedForRetry {
 			err = refusal
 		}
 	}
-	return place{}, err
+	return destination{}, err
 }
 
 // loadTimes says what a call's model takes to load.
@@ -66,46 +66,46 @@
 // it refuses at once what cannot. Errors: fault.NoCapacity with when to come back,
 // fault.Leaving.
 func (g *Gateway) ensure(ctx context.Context, c *call, home targetstatus.Status) error {
-	if !g.leaving() {
+	if !g.isDraining() {
 		err := g.ensureUntil(ctx, c, home, g.draining)
-		if err == nil || !g.leaving() || ctx.Err() != nil {
+		if err == nil || !g.isDraining() || ctx.Err() != nil {
 			return err
 		}
 	}
-	err := g.ensureUntil(ctx, c, home, g.left)
+	err := g.ensureUntil(ctx, c, home, g.rejectWaits)
 	if err != nil && ctx.Err() == nil {
-		return fault.After(fault.Leaving, leavingRetryAfter, "this host is stopping, another one can wait for model %q", c.modelName())
+		return fault.After(fault.Leaving, drainRetryAfter, "this host is stopping, another one can wait for model %q", c.modelName())
 	}
 	return err
 }
 
 // ensureUntil asks an agent once. The call ends when stop is closed.
 func (g *Gateway) ensureUntil(ctx context.Context, c *call, home targetstatus.Status, stop <-chan struct{}) error {
-	limit := g.modelLimit(c.start.Add(c.patience() - ensureSlack).Sub(g.config.Now()))
+	limit := g.boundModelWait(c.start.Add(c.waitLimit() - ensureMargin).Sub(g.config.Now()))
 	if limit <= 0 {
-		return fault.After(fault.NoCapacity, coldRetryAfter, "model %q was not ready in time", c.modelName())
+		return fault.After(fault.NoCapacity, loadRetryAfter, "model %q was not ready in time", c.modelName())
 	}
 	g.config.Events.ModelAwaited(c.RequestID, c.modelName(), home.Instance, limit)
-	ctx, cancel := context.WithTimeout(ctx, limit+ensureSlack)
+	ctx, cancel := context.WithTimeout(ctx, limit+ensureMargin)
 	defer cancel()
-	defer g.until(stop, cancel)()
+	defer g.cancelOnClose(stop, cancel)()
 	resp, err := g.config.Loader(home.Agent).Ensure(ctx, &rpc.EnsureRequest{
 		Instance: home.Instance, Model: c.Model, Adapter: c.Adapter, WaitMs: uint32(limit.Milliseconds()),
-		Value: c.worth(), Request: c.RequestID, Retries: !c.retryExpected,
+		Value: c.value(), Request: c.RequestID, Retries: !c.retryExpected,
 	})
 	if err != nil {
 		f := fault.From(rpc.FromTwirp(err))
 		g.config.Events.ModelRefused(c.RequestID, c.modelName(), home.Instance, f.Message, 0)
-		return fault.After(fault.NoCapacity, coldRetryAfter, "the agent of target %s: %s", home.Instance, f.Message)
+		return fault.After(fault.NoCapacity, loadRetryAfter, "the agent of target %s: %s", home.Instance, f.Message)
 	}
 	if resp.Held {
-		return g.targets.stays(home.Instance)
+		return g.targets.checkAvailable(home.Instance)
 	}
 	c.retryExpected = c.retryExpected || resp.Expected
 	after := time.Duration(resp.RetryAfterMs) * time.Millisecond
 	g.config.Events.ModelRefused(c.RequestID, c.modelName(), home.Instance, resp.Reason, after)
 	if after == 0 {
-		after = coldRetryAfter
+		after = loadRetryAfter
 	}
 	return fault.After(fault.NoCapacity, after, "model %q on target %s: %s", c.modelName(), home.Instance, resp.Reason)
 }
--- a/server/gateway/outage.go
+++ b/server/gateway/outage.go
@@ -10,9 +10,9 @@
 	"cowsliptiller/coord/request"
 )
 
-// unlimitedBody bounds a body that is received before any deployment says how long it
+// defaultMaxBody bounds a body that is received before any deployment says how long it
 // may be. A longer one is refused: the caller comes back when the limit is known.
-const unlimitedBody = 1 << 20
+const defaultMaxBody = 1 << 20
 
 var errNoDeployment = fault.New(fault.Stale, "this host has no deployment that is surely in force")
 
@@ -26,7 +26,7 @@
 		}
 		// Received now, the body shows when the caller goes: the server sees the end of
 		// a connection only behind it. The call would go to a target for nobody.
-		if err := c.receive(w, unlimitedBody); fault.Is(err, fault.TooLarge) {
+		if err := c.bufferBody(w, defaultMaxBody); fault.Is(err, fault.TooLarge) {
 			return errNoDeployment
 		} else if err != nil {
 			return err
@@ -41,49 +41,49 @@
 
 // awaitTargets waits while targets, or models that they hold, may be there that this host
 // does not know yet. It reports whether it is worth looking again.
-func (t *tries) awaitTargets(ctx context.Context) bool {
-	outage, changed := t.gateway.targets.missing()
+func (t *retryState) awaitTargets(ctx context.Context) bool {
+	outage, changed := t.gateway.targets.incomplete()
 	if changed == nil {
 		return false
 	}
-	return t.gateway.waitForRecovery(ctx, t.call, recoveryWait{"targets", outage, t.call.patience(), changed})
+	return t.gateway.waitForRecovery(ctx, t.call, recoveryWait{"targets", outage, t.call.waitLimit(), changed})
 }
 
 // recoveryWait is a wait for what this host does not know for a time.
 type recoveryWait struct {
-	missing string
-	outage  time.Duration
-	limit   time.Duration // that the caller waits in all
-	over    <-chan struct{}
+	missing   string
+	outage    time.Duration
+	limit     time.Duration // that the caller waits in all
+	recovered <-chan struct{}
 }
 
 // waitForRecovery waits until an outage may be over. It reports false where the call has waited
 // long enough, its caller has gone, or this host is leaving.
 func (g *Gateway) waitForRecovery(ctx context.Context, c *call, o recoveryWait) bool {
 	left := request.OutageWait(o.outage, g.config.Now().Sub(c.start), o.limit)
-	if left == 0 || g.sendsAway() {
+	if left == 0 || g.rejectsWaits() {
 		return false
 	}
 	g.config.Events.OutageAwaited(c.RequestID, o.missing, o.outage, left)
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
-	case <-o.over:
+	case <-o.recovered:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
-	case <-g.left:
+	case <-g.rejectWaits:
 	}
 	return false
 }
 
-// missing returns for how long this host has been without a board that knows all targets,
+// incomplete returns for how long this host has been without a board that knows all targets,
 // and a channel that is closed when it learns more; nil where it has known them once.
-func (t *targets) missing() (outage time.Duration, changed <-chan struct{}) {
+func (t *targets) incomplete() (outage time.Duration, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.known.Complete() {
+	if t.table.Complete() {
 		return 0, nil
 	}
-	return t.config.Now().Sub(t.began), t.changed
+	return t.config.Now().Sub(t.startedAt), t.changed
 }
--- a/server/gateway/refuse.go
+++ b/server/gateway/refuse.go
@@ -31,10 +31,10 @@
 		if after == 0 {
 			after = answer.RetryAfter
 		}
-		c.ended.RetryAfter = after
+		c.record.RetryAfter = after
 		platform.RetryAfter(h, after)
 	}
-	if g.leaving() {
+	if g.isDraining() {
 		h.Set("Connection", "close")
 	}
 	body, err := json.Marshal(refusalBody{string(f.Kind), f.Message, string(f.Ran), f.Repeatable})
@@ -42,19 +42,19 @@
 		g.config.Log.Error("refusal not encoded", "error", err)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	c.ended.Status = answer.Status
+	c.record.Status = answer.Status
 	w.WriteHeader(answer.Status)
 	// A caller that has gone does not read it.
 	_, _ = w.Write(body)
 }
 
-// note logs and counts how a request ended.
-func (g *Gateway) note(c *call, f *fault.Error) {
-	c.ended.Took = g.config.Now().Sub(c.start)
-	c.ended.ViewAge = g.targets.boardAge().Round(time.Millisecond)
+// recordEnd logs and counts how a request ended.
+func (g *Gateway) recordEnd(c *call, f *fault.Error) {
+	c.record.Took = g.config.Now().Sub(c.start)
+	c.record.ViewAge = g.targets.boardAge().Round(time.Millisecond)
 	if f != nil {
-		c.ended.Kind, c.ended.Cause, c.ended.Ran = f.Kind, f.Message, f.Ran
+		c.record.Kind, c.record.Cause, c.record.Ran = f.Kind, f.Message, f.Ran
 	}
-	g.config.Events.RequestEnded(c.ended)
-	g.config.Metrics.ended(c.ended)
+	g.config.Events.RequestEnded(c.record)
+	g.config.Metrics.observe(c.record)
 }
--- a/server/gateway/relay.go
+++ b/server/gateway/relay.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// wholeAnswer is the length up to which an answer is read whole before any of
+	// bufferedAnswerBytes is the length up to which an answer is read whole before any of
 	// it goes out: a target that breaks off midway can then be replaced unseen.
-	wholeAnswer = 64 << 10
-	// maxEvent bounds one event of a stream.
-	maxEvent = 256 << 10
+	bufferedAnswerBytes = 64 << 10
+	// maxEventBytes bounds one event of a stream.
+	maxEventBytes = 256 << 10
 	// drainBytes bounds what is read of an answer that is not passed on, so that
 	// its connection can be kept.
 	drainBytes = 16 << 10
@@ -30,12 +30,12 @@
 // relay passes answers on to a caller. It sends one header and one body, from
 // however many targets.
 type relay struct {
-	gateway   *Gateway
-	call      *call
-	writer    http.ResponseWriter
-	began     bool   // the header has gone out
-	stream    bool   // of events, so that it can go on elsewhere
-	lastEvent string // id of the last event that went out whole
+	gateway     *Gateway
+	call        *call
+	writer      http.ResponseWriter
+	headerSent  bool   // the header has gone out
+	eventStream bool   // of events, so that it can go on elsewhere
+	lastEvent   string // id of the last event that went out whole
 }
 
 func newRelay(w http.ResponseWriter, c *call, g *Gateway) *relay {
@@ -44,67 +44,67 @@
 
 // resumable reports whether an answer that has begun can go on at another target.
 func (r *relay) resumable() bool {
-	return r.stream && r.call.route.Resumable && r.lastEvent != ""
+	return r.eventStream && r.call.route.Resumable && r.lastEvent != ""
 }
 
-// pass passes a target's answer on. tryAgain: a failure of the target's may be
+// relayAnswer passes a target's answer on. tryAgain: a failure of the target's may be
 // tried elsewhere instead.
-func (r *relay) pass(ctx context.Context, a *upstream.Answer, meta platform.Answer, w *watchdog, tryAgain bool) outcome {
+func (r *relay) relayAnswer(ctx context.Context, a *upstream.Answer, meta platform.Answer, w *watchdog, tryAgain bool) outcome {
 	defer a.Close()
 	if a.Status >= http.StatusInternalServerError {
-		if r.began || tryAgain {
+		if r.headerSent || tryAgain {
 			drain(a)
-			return outcome{err: fault.New(fault.TargetFailed, "the target answered %d", a.Status), blame: routing.Failed}
+			return outcome{err: fault.New(fault.TargetFailed, "the target answered %d", a.Status), result: routing.Failed}
 		}
-		return r.whole(ctx, a, routing.Failed)
+		return r.relayBody(ctx, a, routing.Failed)
 	}
 	if r.call.route.Streaming && a.Status == http.StatusOK {
-		return r.events(ctx, a, w)
+		return r.relayEvents(ctx, a, w)
 	}
-	if r.began {
+	if r.headerSent {
 		drain(a)
-		return outcome{err: fault.New(fault.StreamBroken, "the target answered %d where a stream should go on", a.Status), blame: routing.Neutral}
+		return outcome{err: fault.New(fault.StreamBroken, "the target answered %d where a stream should go on", a.Status), result: routing.Neutral}
 	}
-	return r.whole(ctx, a, routing.Served)
+	return r.relayBody(ctx, a, routing.Served)
 }
 
-// whole passes on an answer that is not a stream of events.
-func (r *relay) whole(ctx context.Context, a *upstream.Answer, blame routing.Outcome) outcome {
+// relayBody passes on an answer that is not a stream of events.
+func (r *relay) relayBody(ctx context.Context, a *upstream.Answer, blame routing.Outcome) outcome {
 	var first bytes.Buffer
-	_, err := io.Copy(&first, io.LimitReader(a.Body, wholeAnswer))
+	_, err := io.Copy(&first, io.LimitReader(a.Body, bufferedAnswerBytes))
 	if err != nil {
-		return r.broken(ctx, err)
+		return r.readError(ctx, err)
 	}
-	r.begin(a)
+	r.sendHeader(a)
 	if _, err := r.writer.Write(first.Bytes()); err != nil {
-		return outcome{err: fault.New(fault.Canceled, "the caller has gone"), blame: routing.Neutral}
+		return outcome{err: fault.New(fault.Canceled, "the caller has gone"), result: routing.Neutral}
 	}
-	if first.Len() < wholeAnswer {
-		return outcome{blame: blame}
+	if first.Len() < bufferedAnswerBytes {
+		return outcome{result: blame}
 	}
 	if _, err := io.Copy(r.writer, a.Body); err != nil {
-		return r.broken(ctx, err)
+		return r.readError(ctx, err)
 	}
-	return outcome{blame: blame}
+	return outcome{result: blame}
 }
 
-// broken tells a target that broke off from a caller that has gone.
-func (r *relay) broken(ctx context.Context, err error) outcome {
+// readError tells a target that broke off from a caller that has gone.
+func (r *relay) readError(ctx context.Context, err error) outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errSilent):
-		return outcome{err: fault.New(fault.StreamBroken, "the target fell silent"), blame: routing.Failed}
+		return outcome{err: fault.New(fault.StreamBroken, "the target fell silent"), result: routing.Failed}
 	case ctx.Err() != nil:
-		return outcome{err: ended(ctx), blame: routing.Neutral}
+		return outcome{err: contextError(ctx), result: routing.Neutral}
 	}
-	return outcome{err: fault.New(fault.StreamBroken, "the target broke off: %v", err), blame: routing.Failed}
+	return outcome{err: fault.New(fault.StreamBroken, "the target broke off: %v", err), result: routing.Failed}
 }
 
-// begin sends the header of the first target's answer.
-func (r *relay) begin(a *upstream.Answer) {
-	if r.began {
+// sendHeader sends the header of the first target's answer.
+func (r *relay) sendHeader(a *upstream.Answer) {
+	if r.headerSent {
 		return
 	}
-	r.began = true
+	r.headerSent = true
 	h := r.writer.Header()
 	for name, values := range platform.AnswerHeaders(a.Header) {
 		h[name] = values
@@ -112,46 +112,46 @@
 	if h.Get("Date") == "" {
 		h["Date"] = nil // net/http would add one of its own
 	}
-	if r.gateway.leaving() {
+	if r.gateway.isDraining() {
 		h.Set("Connection", "close")
 	}
-	r.call.ended.First = r.gateway.config.Now().Sub(r.call.start)
-	r.call.ended.Status = a.Status
+	r.call.record.First = r.gateway.config.Now().Sub(r.call.start)
+	r.call.record.Status = a.Status
 	r.writer.WriteHeader(a.Status)
 }
 
-// events passes a stream on, event by event. Only whole events go out: a target may
+// relayEvents passes a stream on, event by event. Only whole relayEvents go out: a target may
 // break off within one, and the next target's stream must fit.
-func (r *relay) events(ctx context.Context, a *upstream.Answer, w *watchdog) outcome {
-	r.stream = true
+func (r *relay) relayEvents(ctx context.Context, a *upstream.Answer, w *watchdog) outcome {
+	r.eventStream = true
 	reader := bufio.NewReaderSize(a.Body, 4<<10)
 	flusher, _ := r.writer.(http.Flusher)
 	for {
 		event, err := readEvent(reader)
 		w.Reset()
 		if len(event) > 0 && (err == nil || err == io.EOF) {
-			if !r.forward(a, event) {
-				return outcome{err: fault.New(fault.Canceled, "the caller has gone"), blame: routing.Neutral}
+			if !r.forwardEvent(a, event) {
+				return outcome{err: fault.New(fault.Canceled, "the caller has gone"), result: routing.Neutral}
 			}
 			if flusher != nil && reader.Buffered() == 0 {
 				flusher.Flush()
 			}
 		}
 		if err == io.EOF {
-			r.begin(a)
-			return outcome{blame: routing.Served}
+			r.sendHeader(a)
+			return outcome{result: routing.Served}
 		}
 		if err != nil {
-			if flusher != nil && r.began {
+			if flusher != nil && r.headerSent {
 				flusher.Flush() // whole events that came with the broken one are the caller's
 			}
-			return r.broken(ctx, err)
+			return r.readError(ctx, err)
 		}
 	}
 }
 
-func (r *relay) forward(a *upstream.Answer, event []byte) bool {
-	r.begin(a)
+func (r *relay) forwardEvent(a *upstream.Answer, event []byte) bool {
+	r.sendHeader(a)
 	if _, err := r.writer.Write(event); err != nil {
 		return false
 	}
@@ -169,11 +169,11 @@
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
 		switch {
-		case err == bufio.ErrBufferFull && len(event) < maxEvent:
+		case err == bufio.ErrBufferFull && len(event) < maxEventBytes:
 			continue
 		case err != nil:
 			return event, err
-		case len(event) > maxEvent:
+		case len(event) > maxEventBytes:
 			return nil, errors.New("an event is too long")
 		case len(bytes.TrimRight(line, "\r\n")) == 0:
 			return event, nil
--- a/server/gateway/run.go
+++ b/server/gateway/run.go
@@ -19,65 +19,65 @@
 
 // Bounds of attempts.
 const (
-	// maxArrivals bounds how often one call arrives at targets, refusals included.
-	maxArrivals = 6
-	// silentTimes the target latency without an answer is when a call that may be
+	// maxAttempts bounds how often one call arrives at targets, refusals included.
+	maxAttempts = 6
+	// silenceLatencyFactor the target latency without an answer is when a call that may be
 	// repeated goes elsewhere: the target has hung, or its connection is silent.
 	// Three times is past the time in which the answer has its full worth, and
 	// leaves most of the time for the next attempt.
-	silentTimes = 3
-	// leastSilent keeps a short target latency from sending calls elsewhere that a
+	silenceLatencyFactor = 3
+	// minSilence keeps a short target latency from sending calls elsewhere that a
 	// target has just queued.
-	leastSilent = 250 * time.Millisecond
-	// silentShare of its caller's patience is how long a stream may be silent.
-	silentShare = 0.6
-	// fullRetryAfter is when a caller may come back whom all targets refused: the
+	minSilence = 250 * time.Millisecond
+	// streamSilenceShare of its caller's patience is how long a stream may be silent.
+	streamSilenceShare = 0.6
+	// overloadRetryAfter is when a caller may come back whom all targets refused: the
 	// time in which a plain target works off a part of its queue.
-	fullRetryAfter = 300 * time.Millisecond
+	overloadRetryAfter = 300 * time.Millisecond
 )
 
-// tries is the state of a call over its attempts.
-type tries struct {
-	gateway  *Gateway
-	call     *call
-	writer   *relay
-	exclude  []string // targets that failed or refused this call
-	arrivals int      // at targets, refusals included
-	reached  int      // targets that may have run it
-	last     error
-	awaited  int // times that a model was waited for
+// retryState is the state of a call over its attempts.
+type retryState struct {
+	gateway    *Gateway
+	call       *call
+	relay      *relay
+	excluded   []string // targets that failed or refused this call
+	attempts   int      // at targets, refusals included
+	maybeRan   int      // targets that may have run it
+	lastErr    error
+	modelWaits int // times that a model was waited for
 }
 
 // run has a call run and its answer passed on. The error is the call's final one,
 // nil when an answer went out whole; answered says that its header has gone out.
 func (g *Gateway) run(ctx context.Context, c *call, w http.ResponseWriter) (answered bool, err error) {
-	t := &tries{gateway: g, call: c, writer: newRelay(w, c, g)}
+	t := &retryState{gateway: g, call: c, relay: newRelay(w, c, g)}
 	if c.needsModel() {
-		g.targets.asked(c.Model, c.worth())
+		g.targets.recordDemand(c.Model, c.value())
 	}
 	for {
 		again := t.next(ctx)
 		if !again {
-			return t.writer.began, t.last
+			return t.relay.headerSent, t.lastErr
 		}
 	}
 }
 
 // next makes one attempt. It reports whether another one should follow.
-func (t *tries) next(ctx context.Context) (again bool) {
+func (t *retryState) next(ctx context.Context) (again bool) {
 	g, c := t.gateway, t.call
 	if !g.config.Source.Fresh(g.config.Now()) {
 		// The process may have stood still: the key may be withdrawn by now.
 		t.fail(fault.New(fault.Stale, "this host has lost touch with control"))
 		return false
 	}
-	p, err := t.place(ctx)
+	p, err := t.selectTarget(ctx)
 	if err != nil {
 		t.fail(err)
 		return false
 	}
-	if t.arrivals > 0 && !g.repeat(c.service.Name) {
-		t.fail(fault.After(fault.Overloaded, fullRetryAfter, "too many repeats go to service %q", c.service.Name))
+	if t.attempts > 0 && !g.tryRetry(c.service.Name) {
+		t.fail(fault.After(fault.Overloaded, overloadRetryAfter, "too many repeats go to service %q", c.service.Name))
 		return false
 	}
 	return t.attempt(ctx, p)
@@ -85,175 +85,175 @@
 
 // fail keeps the error to answer with. What an earlier attempt left open wins: see
 // request.Call.Resolve.
-func (t *tries) fail(err error) {
-	if t.last == nil || !fault.Is(err, fault.NoCapacity) {
-		t.last = err
+func (t *retryState) fail(err error) {
+	if t.lastErr == nil || !fault.Is(err, fault.NoCapacity) {
+		t.lastErr = err
 	}
 }
 
-// place chooses a target and makes sure that it holds what the call needs.
-func (t *tries) place(ctx context.Context) (place, error) {
+// selectTarget chooses a target and makes sure that it holds what the call needs.
+func (t *retryState) selectTarget(ctx context.Context) (destination, error) {
 	g, c := t.gateway, t.call
 	for {
-		p, held, ok := g.targets.pick(c, t.exclude)
+		p, held, ok := g.targets.pick(c, t.excluded)
 		if ok && held {
-			return t.admit(p)
+			return t.admitToQueue(p)
 		}
 		if !c.needsModel() {
-			if t.last != nil {
-				return place{}, t.last
+			if t.lastErr != nil {
+				return destination{}, t.lastErr
 			}
 			if t.awaitTargets(ctx) {
 				continue
 			}
-			return place{}, fault.After(fault.Overloaded, fullRetryAfter, "no target of service %q takes requests", c.service.Name)
+			return destination{}, fault.After(fault.Overloaded, overloadRetryAfter, "no target of service %q takes requests", c.service.Name)
 		}
 		if ok && p.Agent != "" {
 			err := g.ensure(ctx, c, p.Status)
 			if err == nil {
 				return p, nil
 			}
-			t.exclude = append(t.exclude, p.Instance)
+			t.excluded = append(t.excluded, p.Instance)
 			if ctx.Err() != nil {
-				return place{}, err
+				return destination{}, err
 			}
 			continue
 		}
 		if t.awaitTargets(ctx) {
 			continue
 		}
-		return t.cold(ctx)
+		return t.loadModel(ctx)
 	}
 }
 
-// admit refuses a call that would wait in its target's queue until it is late: there it
+// admitToQueue refuses a call that would wait in its target's queue until it is late: there it
 // only makes the calls behind it late too. It is told when that queue is worked off.
 // Before that, all other targets that hold its model are looked at.
-func (t *tries) admit(p place) (place, error) {
+func (t *retryState) admitToQueue(p destination) (destination, error) {
 	c := t.call
-	if !c.needsModel() || !c.route.Streaming || t.writer.began || t.worthWaiting(t.gateway.targets.wait(p)) {
+	if !c.needsModel() || !c.route.Streaming || t.relay.headerSent || t.shouldQueue(t.gateway.targets.queueWait(p)) {
 		return p, nil
 	}
-	p = t.gateway.targets.least(p)
-	wait := t.gateway.targets.wait(p)
-	if t.worthWaiting(wait) {
+	p = t.gateway.targets.leastLoaded(p)
+	wait := t.gateway.targets.queueWait(p)
+	if t.shouldQueue(wait) {
 		return p, nil
 	}
-	return place{}, fault.After(fault.Overloaded, request.QueueRetryAfter(wait), "target %s, the best one, has a queue of %v", p.Instance, wait.Round(time.Millisecond))
+	return destination{}, fault.After(fault.Overloaded, request.QueueRetryAfter(wait), "target %s, the best one, has a queue of %v", p.Instance, wait.Round(time.Millisecond))
 }
 
-// worthWaiting reports whether the call should join a queue of that length.
-func (t *tries) worthWaiting(wait time.Duration) bool {
+// shouldQueue reports whether the call should join a queue of that length.
+func (t *retryState) shouldQueue(wait time.Duration) bool {
 	c := t.call
 	spent := t.gateway.config.Now().Sub(c.start)
-	return request.ShouldQueue(wait, spent, time.Duration(c.route.LatencyMs)*time.Millisecond, c.patience())
+	return request.ShouldQueue(wait, spent, time.Duration(c.route.LatencyMs)*time.Millisecond, c.waitLimit())
 }
 
 // attempt sends the call to a target and passes its answer on.
-func (t *tries) attempt(ctx context.Context, p place) (again bool) {
+func (t *retryState) attempt(ctx context.Context, p destination) (again bool) {
 	g, c := t.gateway, t.call
 	now := g.config.Now()
-	a, err := c.attempts.Begin(strconv.Itoa(t.arrivals+1), p.Instance, now)
+	a, err := c.attempts.Begin(strconv.Itoa(t.attempts+1), p.Instance, now)
 	if err != nil || !c.attempts.HandOver(a, now) {
 		t.fail(fault.New(fault.Expired, "the deadline passed before a target was asked"))
 		return false
 	}
-	if t.arrivals == 0 {
-		g.firstAttempt(c.service.Name)
+	if t.attempts == 0 {
+		g.recordRequest(c.service.Name)
 	}
-	t.arrivals++
-	c.ended.Attempts, c.ended.Target = t.arrivals, p.Instance
-	g.targets.started(p)
+	t.attempts++
+	c.record.Attempts, c.record.Target = t.attempts, p.Instance
+	g.targets.recordStart(p)
 	outcome := t.exchange(ctx, a, p)
-	g.targets.finished(p, outcome.blame, g.config.Now().Sub(now))
+	g.targets.recordFinish(p, outcome.result, g.config.Now().Sub(now))
 	if outcome.err == nil {
 		c.attempts.MarkFinished(a)
-		if t.writer.stream {
-			g.targets.ran(c.service.Name, g.config.Now().Sub(c.start.Add(c.ended.First)))
+		if t.relay.eventStream {
+			g.targets.recordRun(c.service.Name, g.config.Now().Sub(c.start.Add(c.record.First)))
 		}
-		t.last = nil
+		t.lastErr = nil
 		return false
 	}
 	refused := c.attempts.Fail(a, outcome.err, outcome.notRun)
 	if refused.Ran != fault.RanNo {
-		t.reached++
+		t.maybeRan++
 	}
 	t.fail(outcome.err)
-	t.exclude = append(t.exclude, p.Instance)
-	again = t.mayGoOn(ctx, refused)
-	g.config.Events.AttemptFailed(c.RequestID, p.Instance, t.arrivals, refused.Ran, outcome.err.Error(), again)
+	t.excluded = append(t.excluded, p.Instance)
+	again = t.mayRetry(ctx, refused)
+	g.config.Events.AttemptFailed(c.RequestID, p.Instance, t.attempts, refused.Ran, outcome.err.Error(), again)
 	g.config.Metrics.attemptFailed(c.service.Name, refused.Kind)
 	return again
 }
 
-// mayGoOn reports whether the call may go to another target after a failed attempt.
-func (t *tries) mayGoOn(ctx context.Context, failed *fault.Error) bool {
+// mayRetry reports whether the call may go to another target after a failed attempt.
+func (t *retryState) mayRetry(ctx context.Context, failed *fault.Error) bool {
 	c := t.call
 	switch {
-	case ctx.Err() != nil || t.arrivals >= maxArrivals:
+	case ctx.Err() != nil || t.attempts >= maxAttempts:
 		return false
-	case t.writer.began && !t.writer.resumable():
+	case t.relay.headerSent && !t.relay.resumable():
 		return false
 	case failed.Ran == fault.RanNo:
 		return true
 	}
-	return c.repeatable() && t.reached < int(c.route.MaxTargets)
+	return c.repeatable() && t.maybeRan < int(c.route.MaxTargets)
 }
 
 // outcome is how an attempt ended.
 type outcome struct {
 	err    error // nil: the answer went out whole
 	notRun bool  // proven: no byte was sent, or the target says so
-	blame  routing.Outcome
+	result routing.Outcome
 }
 
 // exchange sends the call over the wire.
-func (t *tries) exchange(ctx context.Context, a *request.Attempt, p place) outcome {
+func (t *retryState) exchange(ctx context.Context, a *request.Attempt, p destination) outcome {
 	g, c := t.gateway, t.call
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := t.watchdog(p, cancel)
+	watchdog := t.startWatchdog(p, cancel)
 	defer watchdog.Stop()
-	answer, err := g.pool.Do(ctx, t.request(p))
+	answer, err := g.pool.Do(ctx, t.upstreamRequest(p))
 	if err != nil {
-		return t.unanswered(ctx, p, err)
+		return t.sendError(ctx, p, err)
 	}
 	meta := platform.ReadAnswer(answer.Status, answer.Header)
-	g.targets.loaded(p, meta.Load)
+	g.targets.reportLoad(p, meta.Load)
 	if meta.RequestID != "" && meta.RequestID != c.RequestID {
 		// A late second answer to an earlier request: ours may come or not.
 		answer.Abort()
-		return outcome{err: fault.New(fault.TargetFailed, "the answer belongs to another request"), blame: routing.Failed}
+		return outcome{err: fault.New(fault.TargetFailed, "the answer belongs to another request"), result: routing.Failed}
 	}
 	if meta.NotRun {
-		return t.refusedBy(p, answer, meta)
+		return t.notRunOutcome(p, answer, meta)
 	}
 	c.attempts.MarkAccepted(a)
-	return t.writer.pass(ctx, answer, meta, watchdog, t.mayRepeatAfterAnswer())
+	return t.relay.relayAnswer(ctx, answer, meta, watchdog, t.mayRetryAnswered())
 }
 
-// mayRepeatAfterAnswer reports whether a failure that a target answers may be tried
+// mayRetryAnswered reports whether a failure that a target answers may be tried
 // again elsewhere in place of being passed on.
-func (t *tries) mayRepeatAfterAnswer() bool {
-	return t.call.repeatable() && t.reached+1 < int(t.call.route.MaxTargets) && t.arrivals < maxArrivals
+func (t *retryState) mayRetryAnswered() bool {
+	return t.call.repeatable() && t.maybeRan+1 < int(t.call.route.MaxTargets) && t.attempts < maxAttempts
 }
 
-// watchdog breaks an attempt off at a target that stays silent, where the call may
+// startWatchdog breaks an attempt off at a target that stays silent, where the call may
 // go elsewhere. For others a silence is no reason to end: they may be running.
 //
 // A target that works off a queue is silent too. So a stream is left there until most
 // of its caller's patience is used up, and nothing is broken off that no other target
 // could take: that would only throw its place in the queue away.
-func (t *tries) watchdog(p place, cancel context.CancelCauseFunc) *watchdog {
+func (t *retryState) startWatchdog(p destination, cancel context.CancelCauseFunc) *watchdog {
 	c := t.call
-	if !t.mayRepeatAfterAnswer() {
+	if !t.mayRetryAnswered() {
 		return &watchdog{}
 	}
-	limit := max(leastSilent, silentTimes*time.Duration(c.route.LatencyMs)*time.Millisecond)
+	limit := max(minSilence, silenceLatencyFactor*time.Duration(c.route.LatencyMs)*time.Millisecond)
 	if c.route.Streaming {
-		limit = time.Duration(silentShare * float64(c.patience()))
+		limit = time.Duration(streamSilenceShare * float64(c.waitLimit()))
 	}
-	elsewhere := append(slices.Clone(t.exclude), p.Instance)
+	elsewhere := append(slices.Clone(t.excluded), p.Instance)
 	return newWatchdog(limit, func() bool {
 		if _, held, ok := t.gateway.targets.pick(c, elsewhere); !ok || !held {
 			return false
@@ -265,7 +265,7 @@
 
 var errSilent = errors.New("the target stays silent")
 
-func (t *tries) request(p place) *upstream.Request {
+func (t *retryState) upstreamRequest(p destination) *upstream.Request {
 	g, c := t.gateway, t.call
 	workspace := ""
 	if c.workspace != nil {
@@ -275,47 +275,47 @@
 		Address: p.Address, Method: c.http.Method, Target: c.http.RequestURI, Host: c.http.Host, Body: c.body,
 		Header: platform.ForwardHeaders(c.http.Header, platform.Forward{
 			Instance: p.Instance, Deadline: c.deadline.Sub(g.config.Now()), Workspace: workspace,
-			Rank: c.rank(), LastEvent: t.writer.lastEvent,
+			Rank: c.rank(), LastEvent: t.relay.lastEvent,
 		}),
 		Careful: !c.repeatable(), IdleLimit: platform.IdleLimit,
 	}
 }
 
-func (t *tries) unanswered(ctx context.Context, p place, err error) outcome {
+func (t *retryState) sendError(ctx context.Context, p destination, err error) outcome {
 	sent := upstream.Sent(err)
 	switch {
 	case errors.Is(context.Cause(ctx), errSilent):
-		return outcome{err: fault.New(fault.TargetFailed, "target %s stayed silent", p.Instance), notRun: !sent, blame: routing.Failed}
+		return outcome{err: fault.New(fault.TargetFailed, "target %s stayed silent", p.Instance), notRun: !sent, result: routing.Failed}
 	case ctx.Err() != nil:
-		return outcome{err: ended(ctx), notRun: !sent, blame: routing.Neutral}
+		return outcome{err: contextError(ctx), notRun: !sent, result: routing.Neutral}
 	case !sent:
-		return outcome{err: fault.New(fault.Unavailable, "target %s cannot be reached: %v", p.Instance, err), notRun: true, blame: routing.Failed}
+		return outcome{err: fault.New(fault.Unavailable, "target %s cannot be reached: %v", p.Instance, err), notRun: true, result: routing.Failed}
 	}
-	return outcome{err: fault.New(fault.TargetFailed, "target %s broke off: %v", p.Instance, err), blame: routing.Failed}
+	return outcome{err: fault.New(fault.TargetFailed, "target %s broke off: %v", p.Instance, err), result: routing.Failed}
 }
 
-// ended tells a deadline from a caller that has gone.
-func ended(ctx context.Context) error {
+// contextError tells a deadline from a caller that has gone.
+func contextError(ctx context.Context) error {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return fault.New(fault.Timeout, "the time limit passed")
 	}
 	return fault.New(fault.Canceled, "the caller has gone")
 }
 
-// refusedBy takes a target's word that it did not run the call.
-func (t *tries) refusedBy(p place, answer *upstream.Answer, meta platform.Answer) outcome {
+// notRunOutcome takes a target's word that it did not run the call.
+func (t *retryState) notRunOutcome(p destination, answer *upstream.Answer, meta platform.Answer) outcome {
 	drain(answer)
 	if meta.Elsewhere {
-		t.gateway.targets.misplaced(p, meta.Instance)
-		return outcome{err: fault.New(fault.NotHere, "target %s does not hold what is asked for", p.Instance), notRun: true, blame: routing.Neutral}
+		t.gateway.targets.recordMisroute(p, meta.Instance)
+		return outcome{err: fault.New(fault.NotHere, "target %s does not hold what is asked for", p.Instance), notRun: true, result: routing.Neutral}
 	}
-	err := fault.After(fault.Overloaded, fullRetryAfter, "target %s is full", p.Instance)
-	return outcome{err: err, notRun: true, blame: routing.Neutral}
+	err := fault.After(fault.Overloaded, overloadRetryAfter, "target %s is full", p.Instance)
+	return outcome{err: err, notRun: true, result: routing.Neutral}
 }
 
-// misplaced corrects the view after a target said that it is not the one meant, or
+// recordMisroute corrects the view after a target said that it is not the one meant, or
 // does not hold the model.
-func (t *targets) misplaced(p place, instance string) {
+func (t *targets) recordMisroute(p destination, instance string) {
 	now := t.config.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/server/gateway/targets.go
+++ b/server/gateway/targets.go
@@ -21,12 +21,12 @@
 
 // Times of the watch.
 const (
-	watchWait = time.Second
-	watchTime = 2 * time.Second
-	// watchRetry is the wait after a failed poll, while a new leader is found.
-	watchRetry = 100 * time.Millisecond
-	// fillingPace times as often as usual a board is asked that fills: callers wait.
-	fillingPace = 4
+	boardPollWait    = time.Second
+	boardPollTimeout = 2 * time.Second
+	// boardRetryDelay is the wait after a failed poll, while a new leader is found.
+	boardRetryDelay = 100 * time.Millisecond
+	// incompletePollFactor times as often as usual a board is asked that fills: callers wait.
+	incompletePollFactor = 4
 )
 
 // targets is what this host knows of all targets.
@@ -34,25 +34,25 @@
 	config Config
 	events *events.Log
 
-	mu      sync.Mutex // guards everything below
-	router  *routing.Router
-	known   *targetstatus.TableCache
-	epoch   uint64
-	version uint64
-	hosts   int
-	seenAt  time.Time          // of the board's newest answer
-	began   time.Time          // when this host began to ask
-	changed chan struct{}      // closed at the board's next answer
-	use     map[string]float64 // worth asked for since the last poll, by model
-	lost    time.Time          // since when the board does not answer; zero: it does
-	backlog *request.Backlog   // how long targets take for what is queued there
+	mu          sync.Mutex // guards everything below
+	router      *routing.Router
+	table       *targetstatus.TableCache
+	epoch       uint64
+	version     uint64
+	hosts       int
+	updatedAt   time.Time          // of the board's newest answer
+	startedAt   time.Time          // when this host began to ask
+	changed     chan struct{}      // closed at the board's next answer
+	modelDemand map[string]float64 // worth asked for since the last poll, by model
+	boardLostAt time.Time          // since when the board does not answer; zero: it does
+	backlog     *request.Backlog   // how long targets take for what is queued there
 }
 
 func newTargets(c Config) *targets {
 	return &targets{
 		config: c, events: c.Events,
 		router: routing.New(c.Caller.GetFailureDomain(), routing.DefaultSettings(), rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		known:  targetstatus.NewTableCache(), use: map[string]float64{}, hosts: 1, began: c.Now(), changed: make(chan struct{}),
+		table:  targetstatus.NewTableCache(), modelDemand: map[string]float64{}, hosts: 1, startedAt: c.Now(), changed: make(chan struct{}),
 		backlog: request.NewBacklog(),
 	}
 }
@@ -63,10 +63,10 @@
 		wait := targetstatus.PollInterval(t.entryHosts())
 		var renewed <-chan struct{}
 		if err := t.poll(ctx); err != nil {
-			t.noteLost(err)
-			wait, renewed = watchRetry, t.config.Source.Renewed()
-		} else if _, changed := t.missing(); changed != nil {
-			wait /= fillingPace
+			t.recordBoardLost(err)
+			wait, renewed = boardRetryDelay, t.config.Source.Renewed()
+		} else if _, changed := t.incomplete(); changed != nil {
+			wait /= incompletePollFactor
 		}
 		select {
 		case <-ctx.Done():
@@ -76,11 +76,11 @@
 	}
 }
 
-func (t *targets) noteLost(err error) {
+func (t *targets) recordBoardLost(err error) {
 	t.mu.Lock()
-	first := t.lost.IsZero()
+	first := t.boardLostAt.IsZero()
 	if first {
-		t.lost = t.config.Now()
+		t.boardLostAt = t.config.Now()
 	}
 	t.mu.Unlock()
 	if first {
@@ -93,58 +93,58 @@
 	if b == nil {
 		return errNoBoard
 	}
-	ctx, cancel := context.WithTimeout(ctx, watchTime)
+	ctx, cancel := context.WithTimeout(ctx, boardPollTimeout)
 	defer cancel()
 	resp, err := b.Watch(ctx, t.request())
 	if err != nil {
 		return rpc.FromTwirp(err)
 	}
-	t.take(resp)
+	t.apply(resp)
 	return nil
 }
 
 func (t *targets) request() *rpc.WatchRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := &rpc.WatchRequest{Caller: t.config.Caller, Since: t.version, Epoch: t.epoch, WaitMs: uint32(watchWait.Milliseconds())}
-	for _, model := range slices.Sorted(maps.Keys(t.use)) {
-		r.Use = append(r.Use, &rpc.ModelUse{Model: model, ValuePerS: t.use[model]})
+	r := &rpc.WatchRequest{Caller: t.config.Caller, Since: t.version, Epoch: t.epoch, WaitMs: uint32(boardPollWait.Milliseconds())}
+	for _, model := range slices.Sorted(maps.Keys(t.modelDemand)) {
+		r.Use = append(r.Use, &rpc.ModelUse{Model: model, ValuePerS: t.modelDemand[model]})
 	}
-	clear(t.use)
+	clear(t.modelDemand)
 	return r
 }
 
-// asked notes that a caller asked for a model.
-func (t *targets) asked(model string, worth float64) {
+// recordDemand notes that a caller recordDemand for a model.
+func (t *targets) recordDemand(model string, worth float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.use[model] += worth
+	t.modelDemand[model] += worth
 }
 
-func (t *targets) take(r *rpc.WatchResponse) {
+func (t *targets) apply(r *rpc.WatchResponse) {
 	now := t.config.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.lost.IsZero() {
-		t.events.DependencyRegained("board", now.Sub(t.lost))
-		t.lost = time.Time{}
+	if !t.boardLostAt.IsZero() {
+		t.events.DependencyRegained("board", now.Sub(t.boardLostAt))
+		t.boardLostAt = time.Time{}
 	}
 	age := time.Duration(r.ListAgeMs) * time.Millisecond
-	u := updateOf(r)
-	for _, c := range t.known.Apply(u) {
+	u := toUpdate(r)
+	for _, c := range t.table.Apply(u) {
 		s := c.Status
 		t.events.TargetSeen(s.Instance, s.Service, s.Address, s.Draining, c.Removed, age)
 	}
 	close(t.changed)
 	t.changed = make(chan struct{})
-	t.epoch, t.version, t.hosts, t.seenAt = r.Epoch, r.Version, max(1, int(r.EntryHosts)), now
-	if t.known.NeedsFullSync(u) {
+	t.epoch, t.version, t.hosts, t.updatedAt = r.Epoch, r.Version, max(1, int(r.EntryHosts)), now
+	if t.table.NeedsFullSync(u) {
 		t.version = 0
 	}
-	t.route(now)
+	t.updateRouter(now)
 }
 
-func updateOf(r *rpc.WatchResponse) targetstatus.Update {
+func toUpdate(r *rpc.WatchResponse) targetstatus.Update {
 	u := targetstatus.Update{Removed: r.Gone, Whole: r.Whole, Incomplete: r.Filling}
 	for _, m := range r.Standings {
 		u.Changed = append(u.Changed, board.FromRPC(m))
@@ -155,49 +155,49 @@
 	return u
 }
 
-// route gives the router what is known. The caller holds mu.
-func (t *targets) route(now time.Time) {
+// updateRouter gives the router what is known. The caller holds mu.
+func (t *targets) updateRouter(now time.Time) {
 	v := routing.View{Targets: map[string]routing.TargetView{}, Serving: map[string][]routing.Replica{}}
-	for id, s := range t.known.All() {
+	for id, s := range t.table.All() {
 		v.Targets[id] = routing.TargetView{
 			FailureDomain: s.FailureDomain, Concurrency: s.Slots, Incarnation: id, Leaving: s.Draining,
 		}
 		service := routing.ServiceName(s.Service)
 		v.Serving[service] = append(v.Serving[service], routing.Replica{Target: id, Version: s.Version})
 		for _, m := range s.Models {
-			t.serve(v, s, m.Name)
+			t.addReplica(v, s, m.Name)
 			for _, a := range m.Adapters {
-				t.serve(v, s, m.Name+"/"+a)
+				t.addReplica(v, s, m.Name+"/"+a)
 			}
 		}
 	}
 	t.router.SetView(v, now)
 	t.backlog.ResetStarts()
-	for id, s := range t.known.All() {
+	for id, s := range t.table.All() {
 		if s.Reported {
 			t.router.Reported(id, routing.LoadReport{Running: s.Running, Queued: s.Queued, Limit: s.Slots}, now)
 		}
 	}
 }
 
-func (t *targets) serve(v routing.View, s *targetstatus.Status, name string) {
+func (t *targets) addReplica(v routing.View, s *targetstatus.Status, name string) {
 	key := s.Service + ":" + name
 	v.Serving[key] = append(v.Serving[key], routing.Replica{Target: s.Instance, Version: s.Version})
 }
 
-// place is a target to send a call to.
-type place struct {
+// destination is a target to send a call to.
+type destination struct {
 	targetstatus.Status
 	query routing.Request
 }
 
 // pick chooses among the targets that hold what a call needs. Where none holds the
 // adapter, one that holds its model is returned with held false.
-func (t *targets) pick(c *call, exclude []string) (p place, held, ok bool) {
+func (t *targets) pick(c *call, exclude []string) (p destination, held, ok bool) {
 	now := t.config.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	q := routing.Request{Exclude: exclude, NoProbe: !c.repeatable(), PrefixHash: prefixOf(c)}
+	q := routing.Request{Exclude: exclude, NoProbe: !c.repeatable(), PrefixHash: prefixHash(c)}
 	names := []string{routing.ServiceName(c.service.Name)}
 	if c.needsModel() {
 		names = []string{c.service.Name + ":" + c.modelName()}
@@ -211,27 +211,27 @@
 		if c.needsModel() && i == 1 {
 			q.Adapter, q.PrefixHash = c.Adapter, 0
 		}
-		if id, found := t.router.Pick(q, now); found && t.known.Get(id) != nil {
-			return place{Status: *t.known.Get(id), query: q}, i == 0, true
+		if id, found := t.router.Pick(q, now); found && t.table.Get(id) != nil {
+			return destination{Status: *t.table.Get(id), query: q}, i == 0, true
 		}
 	}
-	return place{}, false, false
+	return destination{}, false, false
 }
 
-// least returns the place with the shortest wait of all that would do in place of p.
-func (t *targets) least(p place) place {
+// leastLoaded returns the place with the shortest wait of all that would do in place of p.
+func (t *targets) leastLoaded(p destination) destination {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	id, found := t.router.PickLeastLoaded(p.query, t.config.Now())
-	if !found || t.known.Get(id) == nil {
+	if !found || t.table.Get(id) == nil {
 		return p
 	}
-	return place{Status: *t.known.Get(id), query: p.query}
+	return destination{Status: *t.table.Get(id), query: p.query}
 }
 
-// prefixOf names the part of the prompt that a session's requests share with each
+// prefixHash names the part of the prompt that a session's requests share with each
 // other: targets keep what they have read of it.
-func prefixOf(c *call) uint64 {
+func prefixHash(c *call) uint64 {
 	if len(c.Prefix) == 0 {
 		return 0
 	}
@@ -240,13 +240,13 @@
 	return h.Sum64()
 }
 
-// homes returns the targets that may load a model for a service, the one that would hold
+// loadCandidates returns the targets that may load a model for a service, the one that would hold
 // it first in front.
-func (t *targets) homes(service string, a targetstatus.LoadTimes, exclude []string) []targetstatus.Status {
+func (t *targets) loadCandidates(service string, a targetstatus.LoadTimes, exclude []string) []targetstatus.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []targetstatus.Status
-	for _, s := range t.known.All() {
+	for _, s := range t.table.All() {
 		if s.Service == service && !s.Draining && s.Reported && s.Agent != "" && !slices.Contains(exclude, s.Instance) {
 			list = append(list, *s)
 		}
@@ -254,20 +254,20 @@
 	return targetstatus.RankForLoad(list, a)
 }
 
-func (t *targets) started(p place) {
+func (t *targets) recordStart(p destination) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.router.Started(p.Instance, p.query, t.config.Now())
 	t.backlog.RecordStart(p.Instance)
 }
 
-func (t *targets) finished(p place, o routing.Outcome, took time.Duration) {
+func (t *targets) recordFinish(p destination, o routing.Outcome, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.router.Finished(p.Instance, p.query, o, took, t.config.Now())
 }
 
-func (t *targets) loaded(p place, l platform.Load) {
+func (t *targets) reportLoad(p destination, l platform.Load) {
 	if !l.Known {
 		return
 	}
@@ -286,49 +286,49 @@
 func (t *targets) boardAge() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.config.Now().Sub(t.seenAt)
+	return t.config.Now().Sub(t.updatedAt)
 }
 
-// answered reports whether the board has ever answered.
-func (t *targets) answered() bool {
+// boardAnswered reports whether the board has ever boardAnswered.
+func (t *targets) boardAnswered() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.seenAt.IsZero()
+	return !t.updatedAt.IsZero()
 }
 
-// queryFor is how the router knows a call that goes to a target which has just
+// routingRequest is how the router knows a call that goes to a target which has just
 // loaded its model.
-func (t *targets) queryFor(c *call) routing.Request {
-	return routing.Request{Name: c.service.Name + ":" + c.modelName(), PrefixHash: prefixOf(c), NoProbe: !c.repeatable()}
+func (t *targets) routingRequest(c *call) routing.Request {
+	return routing.Request{Name: c.service.Name + ":" + c.modelName(), PrefixHash: prefixHash(c), NoProbe: !c.repeatable()}
 }
 
-// stays says whether a target may still be sent requests: one that a call waited for
+// checkAvailable says whether a target may still be sent requests: one that a call waited for
 // can have begun to leave meanwhile.
-func (t *targets) stays(instance string) error {
+func (t *targets) checkAvailable(instance string) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.known.Get(instance); s == nil || s.Draining {
-		return fault.After(fault.NoCapacity, coldRetryAfter, "target %s is leaving", instance)
+	if s := t.table.Get(instance); s == nil || s.Draining {
+		return fault.After(fault.NoCapacity, loadRetryAfter, "target %s is leaving", instance)
 	}
 	return nil
 }
 
-// wait is how long a request that goes to a target now is expected to be queued there.
-func (t *targets) wait(p place) time.Duration {
+// queueWait is how long a request that goes to a target now is expected to be queued there.
+func (t *targets) queueWait(p destination) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.backlog.Wait(p.Instance, p.Service, p.Running, p.Queued, p.Slots)
 }
 
-// longestRun is how long runs take at the service where they take longest.
-func (t *targets) longestRun() time.Duration {
+// longestMeanRun is how long runs take at the service where they take longest.
+func (t *targets) longestMeanRun() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.backlog.LongestMeanRun()
 }
 
-// ran notes how long a stream ran at a target of a service, from its first event to its end.
-func (t *targets) ran(service string, took time.Duration) {
+// recordRun notes how long a stream recordRun at a target of a service, from its first event to its end.
+func (t *targets) recordRun(service string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.backlog.RecordRun(service, took)
