--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -27,7 +27,7 @@
 	service      *deployment.Service
 	workspace    *coordpb.DeploymentWorkspace // nil: the route needs no key
 	body         []byte
-	bodyBuffered bool // the body is there
+	bodyBuffered bool // the body has been read
 	start        time.Time
 	deadline     time.Time
 	attempts     *request.Call
@@ -50,7 +50,7 @@
 	return min(deployment.Patience(c.route), c.deadline.Sub(c.start))
 }
 
-// rank is the call's urgency, 0 first.
+// rank is the call's priority; 0 is the highest.
 func (c *call) rank() int {
 	if c.workspace != nil && c.workspace.Ranked {
 		return int(c.workspace.Rank)
@@ -58,8 +58,7 @@
 	return int(c.route.Rank)
 }
 
-// value weighs calls against each other where not all can be had: each rank counts
-// half of the one before it.
+// value weights calls when capacity is short: each rank counts half of the one above it.
 func (c *call) value() float64 { return 1 / float64(int(1)<<min(c.rank(), 8)) }
 
 // modelName is the model, or model/adapter, that the call needs; empty for none.
@@ -73,11 +72,11 @@
 // needsModel reports whether the call goes to a target that must hold its model.
 func (c *call) needsModel() bool { return c.Model != "" && c.service.RunsModels() }
 
-// defaultDeadline bounds a call that tells no time limit on a route; the route's
-// timeout is below it in any deployment that a person waits for.
+// defaultDeadline bounds a call until its route is known. Route timeouts for interactive
+// use are shorter.
 const defaultDeadline = 5 * time.Minute
 
-// admit finds whose a request is and where it may go. Errors: fault.Stale,
+// admit authenticates a request and resolves its route and service. Errors: fault.Stale,
 // fault.NotFound, fault.Unauthenticated.
 func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, start time.Time) (*call, error) {
 	c := &call{Call: platform.ReadCall(r.Header), http: r, start: start, deadline: start.Add(defaultDeadline)}
@@ -115,31 +114,31 @@
 	c.deadline = c.start.Add(limit)
 }
 
-// readBody reads the whole body: it must be there for another attempt, and a caller
-// that sends slowly must not hold a place at a target.
+// readBody reads the whole body: a retry needs it, and a slow sender must not occupy a
+// slot at a target.
 func (g *Gateway) readBody(w http.ResponseWriter, c *call) error {
 	most := c.index.Limits.BodyBytes
 	if err := c.bufferBody(w, most); err != nil {
 		return err
 	}
 	if most > 0 && int64(len(c.body)) > most {
-		return bodyTooLarge(most) // it was received under another limit
+		return bodyTooLarge(most) // it was read under an earlier limit
 	}
 	return nil
 }
 
-// bufferBody reads the body once, up to a number of bytes; 0: any.
-func (c *call) bufferBody(w http.ResponseWriter, most int64) error {
+// bufferBody reads the body once, up to limit bytes; 0 means no limit.
+func (c *call) bufferBody(w http.ResponseWriter, limit int64) error {
 	if c.bodyBuffered || c.http.Body == nil || c.http.ContentLength == 0 {
 		return nil
 	}
-	// The connection keeps working after a deadline that was not reached.
+	// The connection remains usable if the deadline is not reached.
 	if err := http.NewResponseController(w).SetReadDeadline(c.deadline); err != nil {
 		return fault.New(fault.Internal, "read deadline: %v", err)
 	}
 	body := io.Reader(c.http.Body)
-	if most > 0 {
-		body = http.MaxBytesReader(w, c.http.Body, most)
+	if limit > 0 {
+		body = http.MaxBytesReader(w, c.http.Body, limit)
 	}
 	text, err := io.ReadAll(body)
 	var tooLarge *http.MaxBytesError
@@ -147,9 +146,9 @@
 	case errors.As(err, &tooLarge):
 		return bodyTooLarge(tooLarge.Limit)
 	case isTimeout(err):
-		return fault.New(fault.Expired, "the body did not come in time")
+		return fault.New(fault.Expired, "the body was not received before the deadline")
 	case err != nil:
-		return fault.New(fault.Canceled, "the caller broke off: %v", err)
+		return fault.New(fault.Canceled, "reading the body from the caller: %v", err)
 	}
 	c.body, c.bodyBuffered = text, true
 	if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
@@ -158,8 +157,8 @@
 	return nil
 }
 
-func bodyTooLarge(most int64) error {
-	return fault.New(fault.TooLarge, "the body is longer than %d bytes", most)
+func bodyTooLarge(limit int64) error {
+	return fault.New(fault.TooLarge, "the body is longer than %d bytes", limit)
 }
 
 func isTimeout(err error) bool {
@@ -167,8 +166,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// charge takes the call's tokens from its workspace's rate; giveBack returns them.
-func (g *Gateway) charge(ctx context.Context, c *call) (giveBack func(), err error) {
+// charge takes the call's tokens from its workspace's rate; refund returns them.
+func (g *Gateway) charge(ctx context.Context, c *call) (refund func(), err error) {
 	if c.workspace == nil || c.workspace.Rate == 0 {
 		return func() {}, nil
 	}
@@ -189,7 +188,7 @@
 	})
 	if err != nil {
 		if fault.Is(err, fault.TooLarge) {
-			// More than the workspace's whole burst: no wait can meet it.
+			// More than the workspace's whole burst: waiting cannot help.
 			err = fault.New(fault.RateLimited, "%s", fault.From(err).Message)
 		}
 		return func() {}, err
--- a/server/gateway/connections.go
+++ b/server/gateway/connections.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// idleMargin is added to the limit that a deployment sets: a caller that uses the
-// connection at the last moment must not cross its close.
+// idleMargin is added to the limit that a deployment sets: a request sent just
+// before the limit must not race with the close.
 const idleMargin = 2 * time.Second
 
-// connections keeps the callers' connections. An idle one is closed once it is over
-// the deployment's limit; one with a request never is.
+// connections tracks the callers' connections. Idle ones are closed after the
+// deployment's idle limit; one with a request in progress is never closed.
 type connections struct {
 	now func() time.Time
 
@@ -33,7 +33,7 @@
 	c.servers, c.listeners = append(c.servers, s), append(c.listeners, l)
 }
 
-// trackState follows the states of a connection.
+// trackState records a connection's state; it is the servers' ConnState hook.
 func (c *connections) trackState(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,8 +48,8 @@
 func (c *connections) sweep(limit time.Duration) { c.closeIdleFor(limit + idleMargin) }
 
 // drainIdleTimeout is how long a connection is idle before a stopping process closes it:
-// a request that was sent before its caller saw the last answer's announcement
-// has come by then.
+// a request that was sent before its caller saw "Connection: close" has arrived by
+// then.
 const drainIdleTimeout = 300 * time.Millisecond
 
 // closeDrained closes idle connections of a process that stops.
@@ -67,8 +67,8 @@
 	}
 }
 
-// closeListeners ends the taking of new connections from callers. The listener that
-// tells whether this host is ready, which was added first, goes on.
+// closeListeners stops accepting connections from callers. The readiness listener,
+// which was added first, stays open.
 func (c *connections) closeListeners() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,9 +77,9 @@
 	}
 }
 
-// close ends all servers. The lock is not held meanwhile: a server waits in Close for
-// its accepting loop, and that may be waiting in note for the lock, with a connection
-// that has just come. The process would never end.
+// close closes all servers. The lock is not held meanwhile: Server.Close waits for the
+// accept loop, which may be waiting in trackState for the lock with a new connection;
+// holding it would deadlock.
 func (c *connections) close() {
 	c.mu.Lock()
 	servers := slices.Clone(c.servers)
--- a/server/gateway/connections_test.go
+++ b/server/gateway/connections_test.go
@@ -10,9 +10,8 @@
 )
 
 var _ = Describe("the callers' connections", func() {
-	// A host is told to stop and has answered all. While it closes its listeners one
-	// more connection comes; noting it waited for the lock that the closing held, and
-	// the process stayed for good, without a listener.
+	// Guards against a deadlock at shutdown: the ConnState hook of a new connection waited
+	// for the lock that close held while it waited for the accept loop.
 	It("are closed while another one comes in", func() {
 		c := newConnections(time.Now)
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/server/gateway/doc.go
+++ b/server/gateway/doc.go
@@ -1,11 +1,12 @@
-// Package gateway is the entry role on the platform: it takes callers' requests and
-// owes each one final answer.
+// Package gateway is the entry role on the platform: it accepts callers' requests and
+// sends exactly one final answer to each.
 //
-// call.go finds whose a request is and where it may go; run.go has it run, over as
-// many targets as it may; targets.go knows the targets and chooses one; models.go
-// gets a model loaded that no target holds; relay.go passes an answer on, and goes
-// on with a broken stream at another target; refuse.go answers what was not served;
-// listener.go and connections.go keep the callers' connections.
+// call.go authenticates and routes a request; run.go runs it, retrying at other
+// targets; targets.go holds the target table and selects a target; models.go has a
+// model loaded that no target holds; relay.go forwards the answer and resumes a broken
+// stream at another target; refuse.go answers requests that were not served;
+// listener.go and connections.go manage the callers' connections; outage.go waits for
+// a missing deployment or target table.
 //
 // Lock order: Gateway.mu, targets.mu, connections.mu and those of the packages it
 // calls are leaves: no other lock is taken under one.
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -18,29 +18,29 @@
 	"cowsliptiller/server/view"
 )
 
-// Source is the view with what a request needs that waits for it.
+// Source is the view, with the signals that requests waiting for it need.
 type Source interface {
 	view.Source
-	// Renewed returns a channel that is closed when the freshness lease is extended next.
+	// Renewed returns a channel that is closed at the next extension of the freshness lease.
 	Renewed() <-chan struct{}
 	// Silent returns for how long control has not answered; zero while it answers.
 	Silent(now time.Time) time.Duration
 }
 
-// Config is what a gateway is made of.
+// Config holds a gateway's dependencies and settings.
 type Config struct {
 	Caller    *rpc.Caller
 	Source    Source
 	Control   rpc.Control
-	Board     func() rpc.Board                // of the control leader; nil while it is not known
+	Board     func() rpc.Board                // client of the control leader's board; nil while the leader is unknown
 	Loader    func(address string) rpc.Loader // of the agent at an internal address
 	Listen    string                          // IP:port for callers
-	Ready     string                          // IP:port that answers whether this host takes callers
-	Ratio     float64                         // repeats as a share of requests, over the fleet
-	Reserve   float64                         // repeats on top in a window
-	Window    time.Duration                   // in which repeats are counted
-	DrainLook time.Duration                   // until the platform has seen that this host is not ready
-	Grace     time.Duration                   // between the order to stop and the end
+	Ready     string                          // IP:port of the readiness endpoint
+	Ratio     float64                         // retries as a share of requests, over the fleet
+	Reserve   float64                         // additional retries per window
+	Window    time.Duration                   // over which retries are counted
+	DrainLook time.Duration                   // from failing readiness until the platform stops routing here
+	Grace     time.Duration                   // from the stop signal to the end of the process
 	Metrics   *Metrics
 	Events    *events.Log
 	Log       hclog.Logger
@@ -59,12 +59,12 @@
 
 	mu           sync.Mutex
 	retryBudgets map[string]*request.FleetBudget // by service
-	waitDeadline time.Time                       // while draining: when left closes
-	draining     chan struct{}                   // closed at the order to stop
-	closed       bool                            // takes no request any more
-	rejectWaits  chan struct{}                   // closed while draining: who still waits for a model is sent elsewhere
-	cancelCalls  chan struct{}                   // closed when what still runs must be answered
-	running      int                             // requests that have no final answer yet
+	waitDeadline time.Time                       // while draining: when rejectWaits closes
+	draining     chan struct{}                   // closed at the stop signal
+	closed       bool                            // new requests are refused
+	rejectWaits  chan struct{}                   // closed while draining: calls waiting for a model are refused
+	cancelCalls  chan struct{}                   // closed when running calls are canceled and answered
+	running      int                             // requests without a final answer
 }
 
 // New returns a gateway that has not started.
@@ -96,7 +96,7 @@
 	return g.listen()
 }
 
-// sweepInterval is how often idle connections are looked through.
+// sweepInterval is the interval between scans for idle connections.
 const sweepInterval = 500 * time.Millisecond
 
 func (g *Gateway) sweepIdle(ctx context.Context) {
@@ -113,7 +113,7 @@
 	}
 }
 
-// followDeployment takes each new deployment's limits as soon as it is known.
+// followDeployment applies the rate limits of each new deployment.
 func (g *Gateway) followDeployment(ctx context.Context) {
 	for {
 		changed := g.config.Source.Changed()
@@ -128,8 +128,8 @@
 	}
 }
 
-// configureRate gives the rate the limits of a view. Requests call it too: one that
-// is admitted by a deployment must not find its workspace unknown to the rate.
+// configureRate applies a view's limits to the rate limiter. Requests call it too: a
+// request admitted under a deployment must find its workspace in the rate limiter.
 func (g *Gateway) configureRate(s *view.Snapshot) {
 	g.rate.Configure(s.Deployment.Version, func() map[string]workspace.Limit {
 		g.config.Events.DeploymentFollowed(s.Deployment.Version, s.Revision)
@@ -137,8 +137,8 @@
 	})
 }
 
-// index returns the deployment to follow, nil where none is known or what is known
-// may be old. The lease is asked for first: see view.Follower.
+// index returns the deployment to follow, nil if there is none or it may be
+// stale. The lease is checked before the view is read: see view.Follower.
 func (g *Gateway) index() *deployment.Index {
 	if !g.config.Source.Fresh(g.config.Now()) {
 		return nil
@@ -159,7 +159,7 @@
 	return g.retryBudget(service).TryRetry(hosts, now)
 }
 
-// recordRequest notes a request to a service: repeats are a share of these.
+// recordRequest counts a request to a service; retries are limited to a share of these.
 func (g *Gateway) recordRequest(service string) {
 	now := g.config.Now()
 	g.mu.Lock()
@@ -167,7 +167,7 @@
 	g.retryBudget(service).RecordRequest(now)
 }
 
-// retryBudget returns a service's retryBudget of repeats. The caller holds mu.
+// retryBudget returns a service's retry budget. The caller holds mu.
 func (g *Gateway) retryBudget(service string) *request.FleetBudget {
 	b := g.retryBudgets[service]
 	if b == nil {
--- a/server/gateway/listener.go
+++ b/server/gateway/listener.go
@@ -13,17 +13,17 @@
 
 // Bounds of the callers' listener.
 const (
-	// headerTimeout bounds a header that comes slowly, before any deployment says
-	// how slowly it may come.
+	// headerTimeout bounds a header that comes slowly, before a
+	// deployment is known.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes is the most that a header may have; a deployment's own limit is below.
+	// maxHeaderBytes is the server's limit; a deployment's own limit is lower.
 	maxHeaderBytes = 64 << 10
-	// shutdownMargin is left of the grace when what still runs is given up: for its
-	// answers, and for the end of the process.
+	// shutdownMargin is the part of the grace period reserved for answering
+	// canceled calls and ending the process.
 	shutdownMargin = 900 * time.Millisecond
-	// finalAnswerTimeout is allowed for the answers to what is given up.
+	// finalAnswerTimeout is allowed for the answers to canceled calls.
 	finalAnswerTimeout = 300 * time.Millisecond
-	// drainPoll is how often a gateway that stops looks whether all is answered.
+	// drainPoll is how often a draining gateway checks for unanswered calls.
 	drainPoll = 20 * time.Millisecond
 )
 
@@ -35,7 +35,7 @@
 		Handler: http.HandlerFunc(g.ServeHTTP), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: g.connections.trackState,
 	}
-	// No idle timeout of the server's own: it changes with the deployment, see sweep.
+	// No idle timeout of the server's own: it changes with the deployment, see sweepIdle.
 	return g.serve(g.config.Listen, server)
 }
 
@@ -64,29 +64,29 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Ready implements process.Role. A host that cannot tell which deployment is in
-// force refuses every request: callers are better off elsewhere.
+// Ready implements process.Role. A host without a current deployment refuses
+// every request, so it must not receive any.
 func (g *Gateway) Ready() error {
 	switch {
 	case g.isDraining():
 		return fault.New(fault.Leaving, "shutting down")
 	case g.index() == nil:
-		return fault.New(fault.Stale, "no deployment is surely in force")
+		return fault.New(fault.Stale, "no deployment is confirmed as current")
 	case !g.targets.boardAnswered():
-		return fault.New(fault.Unavailable, "no target is known yet")
+		return fault.New(fault.Unavailable, "no target table received yet")
 	}
 	return nil
 }
 
-// ServeHTTP takes one request. It gives exactly one final answer, at once when the
-// request is given up.
+// ServeHTTP serves one request. It sends exactly one final answer, immediately when
+// the request is canceled.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.addRunning(1)
 	defer g.addRunning(-1)
 	start := g.config.Now()
 	c, err := g.admit(w, r, start)
 	if err == nil && g.isClosed() {
-		err = fault.After(fault.Leaving, drainRetryAfter, "this host has stopped taking requests")
+		err = fault.After(fault.Leaving, drainRetryAfter, "this host is shutting down and accepts no requests")
 	}
 	if err != nil {
 		g.finish(w, c, false, err)
@@ -103,18 +103,18 @@
 	if err := g.readBody(w, c); err != nil {
 		return false, err
 	}
-	giveBack, err := g.charge(ctx, c)
+	refund, err := g.charge(ctx, c)
 	if err != nil {
 		return false, err
 	}
 	answered, err = g.run(ctx, c, w)
 	if c.attempts.Ran() == fault.RanNo {
-		giveBack()
+		refund()
 	}
 	return answered, err
 }
 
-// finish gives the final answer, where none has begun to go out, and notes it.
+// finish sends the final answer, unless one has been started, and records the result.
 func (g *Gateway) finish(w http.ResponseWriter, c *call, answered bool, err error) {
 	if err == nil {
 		g.recordEnd(c, nil)
@@ -128,7 +128,7 @@
 	}
 	if answered {
 		g.recordEnd(c, f)
-		// The answer must not look whole: the connection is broken off.
+		// The answer must not look complete: abort the connection.
 		panic(http.ErrAbortHandler)
 	}
 	g.refuse(w, c, f)
@@ -156,7 +156,7 @@
 	}
 }
 
-// boundModelWait bounds a wait for a model by what is left until this host stops.
+// boundModelWait bounds a wait for a model by the time left until this host stops.
 func (g *Gateway) boundModelWait(limit time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -166,8 +166,8 @@
 	return min(limit, g.waitDeadline.Sub(g.config.Now()))
 }
 
-// rejectsWaits reports whether calls that wait for a model are sent to other hosts: this
-// one stops before their answers could end.
+// rejectsWaits reports whether calls that wait for a model are refused, so that callers
+// use other hosts: this one stops before their answers could end.
 func (g *Gateway) rejectsWaits() bool {
 	select {
 	case <-g.rejectWaits:
@@ -183,7 +183,7 @@
 	return g.closed
 }
 
-// defaultIdleTimeout is how long an idle connection is kept before any deployment says.
+// defaultIdleTimeout is the idle timeout while no deployment is known.
 const defaultIdleTimeout = time.Minute
 
 func (g *Gateway) idleLimit() time.Duration {
@@ -193,8 +193,8 @@
 	return defaultIdleTimeout
 }
 
-// Drain implements process.Role: not ready first, then, once the platform has seen
-// that, no new connections, then what runs to its end.
+// Drain implements process.Role: it fails readiness, then, after DrainLook, stops
+// accepting connections, then waits for running calls.
 func (g *Gateway) Drain(ctx context.Context) error {
 	start := g.config.Now()
 	end := start.Add(g.config.Grace - shutdownMargin)
@@ -208,8 +208,8 @@
 	if !sleep(ctx, g.config.DrainLook) {
 		return ctx.Err()
 	}
-	// The platform sends nobody here any more unless all hosts of the failure domain
-	// stop; callers that come all the same are better off elsewhere than cut off.
+	// The platform routes requests here only if all hosts of the failure domain stop;
+	// refusing those is better than cutting them off later.
 	g.mu.Lock()
 	g.closed = true
 	g.mu.Unlock()
@@ -249,7 +249,7 @@
 	return nil
 }
 
-// cancelOnClose cancels when a channel is closed, unless it is told to stop before.
+// cancelOnClose calls cancel when a channel is closed, unless stop is called before.
 func (g *Gateway) cancelOnClose(closed <-chan struct{}, cancel context.CancelFunc) (stop func()) {
 	done := make(chan struct{})
 	go func() {
--- a/server/gateway/metrics.go
+++ b/server/gateway/metrics.go
@@ -18,7 +18,7 @@
 	failed    *prometheus.CounterVec
 }
 
-// latencyBuckets span a plain call of some ten milliseconds and a cold model's half minute.
+// latencyBuckets cover calls of about 10 ms to model loads of about 30 s.
 var latencyBuckets = prometheus.ExponentialBuckets(0.005, 2, 13)
 
 // NewMetrics registers the metrics.
--- a/server/gateway/models.go
+++ b/server/gateway/models.go
@@ -11,22 +11,22 @@
 
 // Bounds of waiting for a model.
 const (
-	// maxLoadTargets is how many agents are asked for a model, one after the other.
+	// maxLoadTargets bounds how many agents are asked for a model, one after the other.
 	maxLoadTargets = 3
 	// maxModelWaits bounds how often one call waits: a model that was dropped again
 	// before the call arrived is asked for once more.
 	maxModelWaits = 4
-	// ensureMargin is left of a caller's patience for the way to the target and its
-	// first token.
+	// ensureMargin is reserved from a caller's wait limit for reaching the target and
+	// its first token.
 	ensureMargin = 150 * time.Millisecond
-	// loadRetryAfter is suggested where no agent said when it can be.
+	// loadRetryAfter is used if no agent gave a time.
 	loadRetryAfter = time.Second
 	// drainRetryAfter: another host takes the request at once.
 	drainRetryAfter = 50 * time.Millisecond
 )
 
-// loadModel gets the call's model loaded somewhere. It is called where no target that may
-// still be tried holds it.
+// loadModel has the call's model loaded at a target. It is called if no remaining
+// candidate holds it.
 func (t *retryState) loadModel(ctx context.Context) (destination, error) {
 	g, c := t.gateway, t.call
 	if t.modelWaits >= maxModelWaits {
@@ -36,7 +36,7 @@
 	homes := g.targets.loadCandidates(c.service.Name, loadTimes(c), t.excluded)
 	err := error(fault.After(fault.NoCapacity, loadRetryAfter, "no target can load model %q", c.modelName()))
 	for _, home := range homes[:min(maxLoadTargets, len(homes))] {
-		loadedForRetry := c.retryExpected // by an earlier home, whose time to retry is the answer
+		loadedForRetry := c.retryExpected // by an earlier candidate, whose retry time is returned
 		refusal := g.ensure(ctx, c, home)
 		if refusal == nil {
 			return destination{Status: home, query: g.targets.routingRequest(c)}, nil
@@ -51,7 +51,7 @@
 	return destination{}, err
 }
 
-// loadTimes says what a call's model takes to load.
+// loadTimes returns the load times of a call's model.
 func loadTimes(c *call) targetstatus.LoadTimes {
 	m := c.service.Models[c.Model] // nil, and no time known, for a model that is not configured
 	return targetstatus.LoadTimes{
@@ -61,9 +61,9 @@
 	}
 }
 
-// ensure asks a target's agent to have the call's model, and its adapter, loaded. When this
-// host is told to stop meanwhile, the agent is asked again for what can come before that:
-// it refuses at once what cannot. Errors: fault.NoCapacity with when to come back,
+// ensure asks a target's agent to have the call's model, and its adapter, loaded. If this
+// host begins to drain meanwhile, the agent is asked again with the shorter limit and
+// refuses at once if it cannot meet it. Errors: fault.NoCapacity with a retry time,
 // fault.Leaving.
 func (g *Gateway) ensure(ctx context.Context, c *call, home targetstatus.Status) error {
 	if !g.isDraining() {
@@ -74,7 +74,7 @@
 	}
 	err := g.ensureUntil(ctx, c, home, g.rejectWaits)
 	if err != nil && ctx.Err() == nil {
-		return fault.After(fault.Leaving, drainRetryAfter, "this host is stopping, another one can wait for model %q", c.modelName())
+		return fault.After(fault.Leaving, drainRetryAfter, "this host is shutting down; retry at another host for model %q", c.modelName())
 	}
 	return err
 }
--- a/server/gateway/outage.go
+++ b/server/gateway/outage.go
@@ -10,22 +10,22 @@
 	"cowsliptiller/coord/request"
 )
 
-// defaultMaxBody bounds a body that is received before any deployment says how long it
-// may be. A longer one is refused: the caller comes back when the limit is known.
+// defaultMaxBody bounds a body that is read while no deployment, and so no limit, is known.
+// A longer one is refused; the caller retries when the limit is known.
 const defaultMaxBody = 1 << 20
 
-var errNoDeployment = fault.New(fault.Stale, "this host has no deployment that is surely in force")
+var errNoDeployment = fault.New(fault.Stale, "this host has no deployment that is confirmed as current")
 
-// awaitIndex finds the deployment to follow. Where none is surely in force it waits, as
-// long as that may be over soon. Errors: fault.Stale, and those of receive.
+// awaitIndex sets the call's deployment. If none is confirmed as current it waits, as
+// long as request.OutageWait allows. Errors: fault.Stale, and those of bufferBody.
 func (g *Gateway) awaitIndex(w http.ResponseWriter, c *call) error {
 	for {
 		renewed := g.config.Source.Renewed()
 		if c.index = g.index(); c.index != nil {
 			return nil
 		}
-		// Received now, the body shows when the caller goes: the server sees the end of
-		// a connection only behind it. The call would go to a target for nobody.
+		// net/http detects a closed connection only after the body has been read.
+		// Without this, calls of disconnected callers would run at a target.
 		if err := c.bufferBody(w, defaultMaxBody); fault.Is(err, fault.TooLarge) {
 			return errNoDeployment
 		} else if err != nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// awaitTargets waits while targets, or models that they hold, may be there that this host
-// does not know yet. It reports whether it is worth looking again.
+// awaitTargets waits while the target table is incomplete. It reports whether selection
+// should be tried again.
 func (t *retryState) awaitTargets(ctx context.Context) bool {
 	outage, changed := t.gateway.targets.incomplete()
 	if changed == nil {
@@ -49,16 +49,16 @@
 	return t.gateway.waitForRecovery(ctx, t.call, recoveryWait{"targets", outage, t.call.waitLimit(), changed})
 }
 
-// recoveryWait is a wait for what this host does not know for a time.
+// recoveryWait describes a wait for data that this host lacks.
 type recoveryWait struct {
 	missing   string
 	outage    time.Duration
-	limit     time.Duration // that the caller waits in all
+	limit     time.Duration // of the caller's whole wait
 	recovered <-chan struct{}
 }
 
-// waitForRecovery waits until an outage may be over. It reports false where the call has waited
-// long enough, its caller has gone, or this host is leaving.
+// waitForRecovery waits until an outage may be over. It reports false if the wait
+// ended, the caller disconnected, or this host is draining.
 func (g *Gateway) waitForRecovery(ctx context.Context, c *call, o recoveryWait) bool {
 	left := request.OutageWait(o.outage, g.config.Now().Sub(c.start), o.limit)
 	if left == 0 || g.rejectsWaits() {
@@ -77,8 +77,8 @@
 	return false
 }
 
-// incomplete returns for how long this host has been without a board that knows all targets,
-// and a channel that is closed when it learns more; nil where it has known them once.
+// incomplete returns for how long this host has been without a complete target table, and
+// a channel that is closed at the next update; nil once the table has been complete.
 func (t *targets) incomplete() (outage time.Duration, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/server/gateway/refuse.go
+++ b/server/gateway/refuse.go
@@ -10,7 +10,7 @@
 	"cowsliptiller/platform"
 )
 
-// refusalBody is the body of an answer of our own.
+// refusalBody is the JSON body of an answer that the gateway itself sends.
 type refusalBody struct {
 	Kind       string `json:"kind"`
 	Message    string `json:"message"`
@@ -19,8 +19,8 @@
 }
 
 // refuse answers a request that was not served. The status follows from the error's
-// kind alone (coord/fault); one that promises that nothing ran is sent only where
-// that is true: request.Call.Resolve sees to it.
+// kind alone (coord/fault); request.Call.Resolve ensures that a status which
+// promises that nothing ran is sent only if that is true.
 func (g *Gateway) refuse(w http.ResponseWriter, c *call, f *fault.Error) {
 	answer := fault.AnswerFor(f.Kind)
 	h := w.Header()
@@ -39,12 +39,12 @@
 	}
 	body, err := json.Marshal(refusalBody{string(f.Kind), f.Message, string(f.Ran), f.Repeatable})
 	if err != nil {
-		g.config.Log.Error("refusal not encoded", "error", err)
+		g.config.Log.Error("encoding the refusal body failed", "error", err)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	c.record.Status = answer.Status
 	w.WriteHeader(answer.Status)
-	// A caller that has gone does not read it.
+	// A write error means that the caller has disconnected.
 	_, _ = w.Write(body)
 }
 
--- a/server/gateway/relay.go
+++ b/server/gateway/relay.go
@@ -17,42 +17,41 @@
 )
 
 const (
-	// bufferedAnswerBytes is the length up to which an answer is read whole before any of
-	// it goes out: a target that breaks off midway can then be replaced unseen.
+	// bufferedAnswerBytes is how much of an answer is buffered before any of it is
+	// sent: if the target fails within it, the call can be retried elsewhere.
 	bufferedAnswerBytes = 64 << 10
 	// maxEventBytes bounds one event of a stream.
 	maxEventBytes = 256 << 10
-	// drainBytes bounds what is read of an answer that is not passed on, so that
-	// its connection can be kept.
+	// drainBytes bounds what is read of a discarded answer to reuse its connection.
 	drainBytes = 16 << 10
 )
 
-// relay passes answers on to a caller. It sends one header and one body, from
-// however many targets.
+// relay forwards answers to a caller. It sends one header and one body, from one or
+// more targets.
 type relay struct {
 	gateway     *Gateway
 	call        *call
 	writer      http.ResponseWriter
-	headerSent  bool   // the header has gone out
-	eventStream bool   // of events, so that it can go on elsewhere
-	lastEvent   string // id of the last event that went out whole
+	headerSent  bool   // the header has been sent
+	eventStream bool   // the answer is a stream of events
+	lastEvent   string // id of the last complete event sent
 }
 
 func newRelay(w http.ResponseWriter, c *call, g *Gateway) *relay {
 	return &relay{gateway: g, call: c, writer: w}
 }
 
-// resumable reports whether an answer that has begun can go on at another target.
+// resumable reports whether an answer that has been started can continue at another target.
 func (r *relay) resumable() bool {
 	return r.eventStream && r.call.route.Resumable && r.lastEvent != ""
 }
 
-// relayAnswer passes a target's answer on. tryAgain: a failure of the target's may be
-// tried elsewhere instead.
-func (r *relay) relayAnswer(ctx context.Context, a *upstream.Answer, meta platform.Answer, w *watchdog, tryAgain bool) outcome {
+// relayAnswer forwards a target's answer. If retryable is set, a 5xx answer is
+// discarded so that the call can be retried elsewhere.
+func (r *relay) relayAnswer(ctx context.Context, a *upstream.Answer, meta platform.Answer, w *watchdog, retryable bool) outcome {
 	defer a.Close()
 	if a.Status >= http.StatusInternalServerError {
-		if r.headerSent || tryAgain {
+		if r.headerSent || retryable {
 			drain(a)
 			return outcome{err: fault.New(fault.TargetFailed, "the target answered %d", a.Status), result: routing.Failed}
 		}
@@ -68,7 +67,7 @@
 	return r.relayBody(ctx, a, routing.Served)
 }
 
-// relayBody passes on an answer that is not a stream of events.
+// relayBody forwards an answer that is not a stream of events.
 func (r *relay) relayBody(ctx context.Context, a *upstream.Answer, blame routing.Outcome) outcome {
 	var first bytes.Buffer
 	_, err := io.Copy(&first, io.LimitReader(a.Body, bufferedAnswerBytes))
@@ -88,11 +87,11 @@
 	return outcome{result: blame}
 }
 
-// readError tells a target that broke off from a caller that has gone.
+// readError distinguishes a failed target from a caller that disconnected.
 func (r *relay) readError(ctx context.Context, err error) outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errSilent):
-		return outcome{err: fault.New(fault.StreamBroken, "the target fell silent"), result: routing.Failed}
+		return outcome{err: fault.New(fault.StreamBroken, "the target stopped sending"), result: routing.Failed}
 	case ctx.Err() != nil:
 		return outcome{err: contextError(ctx), result: routing.Neutral}
 	}
@@ -110,7 +109,7 @@
 		h[name] = values
 	}
 	if h.Get("Date") == "" {
-		h["Date"] = nil // net/http would add one of its own
+		h["Date"] = nil // keeps net/http from adding one
 	}
 	if r.gateway.isDraining() {
 		h.Set("Connection", "close")
@@ -120,8 +119,8 @@
 	r.writer.WriteHeader(a.Status)
 }
 
-// relayEvents passes a stream on, event by event. Only whole relayEvents go out: a target may
-// break off within one, and the next target's stream must fit.
+// relayEvents forwards a stream, event by event. Only complete events are sent: a target
+// may fail within one, and the next target resumes after the last complete one.
 func (r *relay) relayEvents(ctx context.Context, a *upstream.Answer, w *watchdog) outcome {
 	r.eventStream = true
 	reader := bufio.NewReaderSize(a.Body, 4<<10)
@@ -143,7 +142,7 @@
 		}
 		if err != nil {
 			if flusher != nil && r.headerSent {
-				flusher.Flush() // whole events that came with the broken one are the caller's
+				flusher.Flush() // sends the complete events that preceded the failure
 			}
 			return r.readError(ctx, err)
 		}
@@ -162,7 +161,7 @@
 }
 
 // readEvent reads up to and including the empty line that ends an event. At the end
-// of the stream what is left comes with io.EOF.
+// of the stream the remainder is returned with io.EOF.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -174,7 +173,7 @@
 		case err != nil:
 			return event, err
 		case len(event) > maxEventBytes:
-			return nil, errors.New("an event is too long")
+			return nil, errors.New("an event of the stream is too long")
 		case len(bytes.TrimRight(line, "\r\n")) == 0:
 			return event, nil
 		}
@@ -201,8 +200,8 @@
 	a.Close()
 }
 
-// watchdog calls a function when it was not reset for a while, and again for as long
-// as that returns false. The zero value never does.
+// watchdog calls a function when it was not reset within limit, and again as long as
+// that returns false. The zero value never calls one.
 type watchdog struct {
 	mu      sync.Mutex
 	timer   *time.Timer
@@ -210,19 +209,19 @@
 	stopped bool
 }
 
-func newWatchdog(limit time.Duration, bark func() (done bool)) *watchdog {
+func newWatchdog(limit time.Duration, onTimeout func() (done bool)) *watchdog {
 	w := &watchdog{limit: limit}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.timer = time.AfterFunc(limit, func() {
-		if !bark() {
+		if !onTimeout() {
 			w.Reset()
 		}
 	})
 	return w
 }
 
-// Reset starts the wait anew.
+// Reset restarts the timeout.
 func (w *watchdog) Reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -231,7 +230,7 @@
 	}
 }
 
-// Stop ends the watch.
+// Stop stops the watchdog.
 func (w *watchdog) Stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/server/gateway/run.go
+++ b/server/gateway/run.go
@@ -19,20 +19,21 @@
 
 // Bounds of attempts.
 const (
-	// maxAttempts bounds how often one call arrives at targets, refusals included.
+	// maxAttempts bounds the attempts of one call, refusals included.
 	maxAttempts = 6
 	// silenceLatencyFactor the target latency without an answer is when a call that may be
 	// repeated goes elsewhere: the target has hung, or its connection is silent.
 	// Three times is past the time in which the answer has its full worth, and
 	// leaves most of the time for the next attempt.
 	silenceLatencyFactor = 3
-	// minSilence keeps a short target latency from sending calls elsewhere that a
-	// target has just queued.
+	// minSilence keeps a short target latency from moving calls that a target has
+	// just queued.
 	minSilence = 250 * time.Millisecond
-	// streamSilenceShare of its caller's patience is how long a stream may be silent.
+	// streamSilenceShare is the share of the caller's wait limit that a stream may be
+	// silent.
 	streamSilenceShare = 0.6
-	// overloadRetryAfter is when a caller may come back whom all targets refused: the
-	// time in which a plain target works off a part of its queue.
+	// overloadRetryAfter is the retry time if all targets refused a call: a plain
+	// target processes a part of its queue in it.
 	overloadRetryAfter = 300 * time.Millisecond
 )
 
@@ -42,14 +43,14 @@
 	call       *call
 	relay      *relay
 	excluded   []string // targets that failed or refused this call
-	attempts   int      // at targets, refusals included
+	attempts   int      // sent to targets, refusals included
 	maybeRan   int      // targets that may have run it
 	lastErr    error
-	modelWaits int // times that a model was waited for
+	modelWaits int // number of waits for a model
 }
 
-// run has a call run and its answer passed on. The error is the call's final one,
-// nil when an answer went out whole; answered says that its header has gone out.
+// run runs a call and forwards its answer. The error is the call's final one, nil when
+// a complete answer was sent; answered reports whether its header was sent.
 func (g *Gateway) run(ctx context.Context, c *call, w http.ResponseWriter) (answered bool, err error) {
 	t := &retryState{gateway: g, call: c, relay: newRelay(w, c, g)}
 	if c.needsModel() {
@@ -67,8 +68,8 @@
 func (t *retryState) next(ctx context.Context) (again bool) {
 	g, c := t.gateway, t.call
 	if !g.config.Source.Fresh(g.config.Now()) {
-		// The process may have stood still: the key may be withdrawn by now.
-		t.fail(fault.New(fault.Stale, "this host has lost touch with control"))
+		// The process may have been suspended, and the key revoked meanwhile.
+		t.fail(fault.New(fault.Stale, "this host's freshness lease from control has lapsed"))
 		return false
 	}
 	p, err := t.selectTarget(ctx)
@@ -77,13 +78,13 @@
 		return false
 	}
 	if t.attempts > 0 && !g.tryRetry(c.service.Name) {
-		t.fail(fault.After(fault.Overloaded, overloadRetryAfter, "too many repeats go to service %q", c.service.Name))
+		t.fail(fault.After(fault.Overloaded, overloadRetryAfter, "the retry budget of service %q is used up", c.service.Name))
 		return false
 	}
 	return t.attempt(ctx, p)
 }
 
-// fail keeps the error to answer with. What an earlier attempt left open wins: see
+// fail keeps the error to answer with. An earlier attempt that may have run takes precedence: see
 // request.Call.Resolve.
 func (t *retryState) fail(err error) {
 	if t.lastErr == nil || !fault.Is(err, fault.NoCapacity) {
@@ -126,9 +127,9 @@
 	}
 }
 
-// admitToQueue refuses a call that would wait in its target's queue until it is late: there it
-// only makes the calls behind it late too. It is told when that queue is worked off.
-// Before that, all other targets that hold its model are looked at.
+// admitToQueue refuses a call that would miss its latency in its target's queue, where
+// it would also delay the calls behind it. The refusal's retry time is the end of that
+// queue. All other targets that hold its model are considered before.
 func (t *retryState) admitToQueue(p destination) (destination, error) {
 	c := t.call
 	if !c.needsModel() || !c.route.Streaming || t.relay.headerSent || t.shouldQueue(t.gateway.targets.queueWait(p)) {
@@ -142,20 +143,20 @@
 	return destination{}, fault.After(fault.Overloaded, request.QueueRetryAfter(wait), "target %s, the best one, has a queue of %v", p.Instance, wait.Round(time.Millisecond))
 }
 
-// shouldQueue reports whether the call should join a queue of that length.
+// shouldQueue reports whether the call should join a queue with that wait.
 func (t *retryState) shouldQueue(wait time.Duration) bool {
 	c := t.call
 	spent := t.gateway.config.Now().Sub(c.start)
 	return request.ShouldQueue(wait, spent, time.Duration(c.route.LatencyMs)*time.Millisecond, c.waitLimit())
 }
 
-// attempt sends the call to a target and passes its answer on.
+// attempt sends the call to a target and forwards its answer.
 func (t *retryState) attempt(ctx context.Context, p destination) (again bool) {
 	g, c := t.gateway, t.call
 	now := g.config.Now()
 	a, err := c.attempts.Begin(strconv.Itoa(t.attempts+1), p.Instance, now)
 	if err != nil || !c.attempts.HandOver(a, now) {
-		t.fail(fault.New(fault.Expired, "the deadline passed before a target was asked"))
+		t.fail(fault.New(fault.Expired, "the deadline passed before the call was sent to a target"))
 		return false
 	}
 	if t.attempts == 0 {
@@ -202,12 +203,12 @@
 
 // outcome is how an attempt ended.
 type outcome struct {
-	err    error // nil: the answer went out whole
+	err    error // nil: the complete answer was sent
 	notRun bool  // proven: no byte was sent, or the target says so
 	result routing.Outcome
 }
 
-// exchange sends the call over the wire.
+// exchange sends the call and handles the answer.
 func (t *retryState) exchange(ctx context.Context, a *request.Attempt, p destination) outcome {
 	g, c := t.gateway, t.call
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -221,7 +222,7 @@
 	meta := platform.ReadAnswer(answer.Status, answer.Header)
 	g.targets.reportLoad(p, meta.Load)
 	if meta.RequestID != "" && meta.RequestID != c.RequestID {
-		// A late second answer to an earlier request: ours may come or not.
+		// A late second answer to an earlier request; ours may or may not follow.
 		answer.Abort()
 		return outcome{err: fault.New(fault.TargetFailed, "the answer belongs to another request"), result: routing.Failed}
 	}
@@ -232,18 +233,18 @@
 	return t.relay.relayAnswer(ctx, answer, meta, watchdog, t.mayRetryAnswered())
 }
 
-// mayRetryAnswered reports whether a failure that a target answers may be tried
-// again elsewhere in place of being passed on.
+// mayRetryAnswered reports whether a target's 5xx answer may be retried elsewhere
+// instead of being forwarded.
 func (t *retryState) mayRetryAnswered() bool {
 	return t.call.repeatable() && t.maybeRan+1 < int(t.call.route.MaxTargets) && t.attempts < maxAttempts
 }
 
-// startWatchdog breaks an attempt off at a target that stays silent, where the call may
-// go elsewhere. For others a silence is no reason to end: they may be running.
+// startWatchdog cancels an attempt at a silent target if the call may be retried
+// elsewhere. Other calls are not canceled: they may be running.
 //
-// A target that works off a queue is silent too. So a stream is left there until most
-// of its caller's patience is used up, and nothing is broken off that no other target
-// could take: that would only throw its place in the queue away.
+// A target with a queue is silent too. So a stream is left there until most of its
+// caller's wait limit is used up, and an attempt that no other target could take is
+// not canceled: that would only lose its position in the queue.
 func (t *retryState) startWatchdog(p destination, cancel context.CancelCauseFunc) *watchdog {
 	c := t.call
 	if !t.mayRetryAnswered() {
@@ -263,7 +264,7 @@
 	})
 }
 
-var errSilent = errors.New("the target stays silent")
+var errSilent = errors.New("no answer from the target in time")
 
 func (t *retryState) upstreamRequest(p destination) *upstream.Request {
 	g, c := t.gateway, t.call
@@ -285,7 +286,7 @@
 	sent := upstream.Sent(err)
 	switch {
 	case errors.Is(context.Cause(ctx), errSilent):
-		return outcome{err: fault.New(fault.TargetFailed, "target %s stayed silent", p.Instance), notRun: !sent, result: routing.Failed}
+		return outcome{err: fault.New(fault.TargetFailed, "target %s did not answer in time", p.Instance), notRun: !sent, result: routing.Failed}
 	case ctx.Err() != nil:
 		return outcome{err: contextError(ctx), notRun: !sent, result: routing.Neutral}
 	case !sent:
@@ -294,7 +295,7 @@
 	return outcome{err: fault.New(fault.TargetFailed, "target %s broke off: %v", p.Instance, err), result: routing.Failed}
 }
 
-// contextError tells a deadline from a caller that has gone.
+// contextError distinguishes an expired deadline from a caller that disconnected.
 func contextError(ctx context.Context) error {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return fault.New(fault.Timeout, "the time limit passed")
@@ -302,7 +303,7 @@
 	return fault.New(fault.Canceled, "the caller has gone")
 }
 
-// notRunOutcome takes a target's word that it did not run the call.
+// notRunOutcome handles a target's answer that it did not run the call.
 func (t *retryState) notRunOutcome(p destination, answer *upstream.Answer, meta platform.Answer) outcome {
 	drain(answer)
 	if meta.Elsewhere {
@@ -313,8 +314,8 @@
 	return outcome{err: err, notRun: true, result: routing.Neutral}
 }
 
-// recordMisroute corrects the view after a target said that it is not the one meant, or
-// does not hold the model.
+// recordMisroute updates the router after a target answered that it is another
+// instance, or does not hold the model.
 func (t *targets) recordMisroute(p destination, instance string) {
 	now := t.config.Now()
 	t.mu.Lock()
--- a/server/gateway/targets.go
+++ b/server/gateway/targets.go
@@ -19,17 +19,17 @@
 	"cowsliptiller/server/rpc"
 )
 
-// Times of the watch.
+// Timing of the polls of the board.
 const (
 	boardPollWait    = time.Second
 	boardPollTimeout = 2 * time.Second
 	// boardRetryDelay is the wait after a failed poll, while a new leader is found.
 	boardRetryDelay = 100 * time.Millisecond
-	// incompletePollFactor times as often as usual a board is asked that fills: callers wait.
+	// incompletePollFactor is how many times as often an incomplete board is polled: callers wait.
 	incompletePollFactor = 4
 )
 
-// targets is what this host knows of all targets.
+// targets is this host's table of all targets, with the router over it.
 type targets struct {
 	config Config
 	events *events.Log
@@ -41,11 +41,11 @@
 	version     uint64
 	hosts       int
 	updatedAt   time.Time          // of the board's newest answer
-	startedAt   time.Time          // when this host began to ask
+	startedAt   time.Time          // when polling began
 	changed     chan struct{}      // closed at the board's next answer
-	modelDemand map[string]float64 // worth asked for since the last poll, by model
-	boardLostAt time.Time          // since when the board does not answer; zero: it does
-	backlog     *request.Backlog   // how long targets take for what is queued there
+	modelDemand map[string]float64 // value requested since the last poll, by model
+	boardLostAt time.Time          // since when the board has not answered; zero if it answers
+	backlog     *request.Backlog   // estimates queue waits at targets
 }
 
 func newTargets(c Config) *targets {
@@ -57,7 +57,7 @@
 	}
 }
 
-// watch follows the board.
+// watch polls the board.
 func (t *targets) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := targetstatus.PollInterval(t.entryHosts())
@@ -70,7 +70,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-renewed: // control answers: it says who leads
+		case <-renewed: // control answered, so the leader may be known
 		case <-time.After(wait):
 		}
 	}
@@ -114,7 +114,7 @@
 	return r
 }
 
-// recordDemand notes that a caller recordDemand for a model.
+// recordDemand adds a request to the demand for a model.
 func (t *targets) recordDemand(model string, worth float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,7 +155,7 @@
 	return u
 }
 
-// updateRouter gives the router what is known. The caller holds mu.
+// updateRouter passes the table to the router. The caller holds mu.
 func (t *targets) updateRouter(now time.Time) {
 	v := routing.View{Targets: map[string]routing.TargetView{}, Serving: map[string][]routing.Replica{}}
 	for id, s := range t.table.All() {
@@ -218,7 +218,7 @@
 	return destination{}, false, false
 }
 
-// leastLoaded returns the place with the shortest wait of all that would do in place of p.
+// leastLoaded returns the target with the shortest wait that can take p's call.
 func (t *targets) leastLoaded(p destination) destination {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -229,8 +229,8 @@
 	return destination{Status: *t.table.Get(id), query: p.query}
 }
 
-// prefixHash names the part of the prompt that a session's requests share with each
-// other: targets keep what they have read of it.
+// prefixHash hashes the prompt prefix that a session's requests share: targets cache
+// it.
 func prefixHash(c *call) uint64 {
 	if len(c.Prefix) == 0 {
 		return 0
@@ -240,8 +240,8 @@
 	return h.Sum64()
 }
 
-// loadCandidates returns the targets that may load a model for a service, the one that would hold
-// it first in front.
+// loadCandidates returns the targets that may load a model for a service, the one
+// that could hold it earliest first.
 func (t *targets) loadCandidates(service string, a targetstatus.LoadTimes, exclude []string) []targetstatus.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -282,7 +282,7 @@
 	return t.hosts
 }
 
-// boardAge is how old what is known of the targets is.
+// boardAge is the age of the target table.
 func (t *targets) boardAge() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -296,19 +296,19 @@
 	return !t.updatedAt.IsZero()
 }
 
-// routingRequest is how the router knows a call that goes to a target which has just
-// loaded its model.
+// routingRequest returns the routing request of a call whose target has just loaded its
+// model.
 func (t *targets) routingRequest(c *call) routing.Request {
 	return routing.Request{Name: c.service.Name + ":" + c.modelName(), PrefixHash: prefixHash(c), NoProbe: !c.repeatable()}
 }
 
-// checkAvailable says whether a target may still be sent requests: one that a call waited for
-// can have begun to leave meanwhile.
+// checkAvailable returns an error if a target no longer accepts requests: it may have
+// begun to drain while a call waited for its model.
 func (t *targets) checkAvailable(instance string) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.table.Get(instance); s == nil || s.Draining {
-		return fault.After(fault.NoCapacity, loadRetryAfter, "target %s is leaving", instance)
+		return fault.After(fault.NoCapacity, loadRetryAfter, "target %s is draining", instance)
 	}
 	return nil
 }
@@ -320,14 +320,14 @@
 	return t.backlog.Wait(p.Instance, p.Service, p.Running, p.Queued, p.Slots)
 }
 
-// longestMeanRun is how long runs take at the service where they take longest.
+// longestMeanRun is the mean run time of the slowest service.
 func (t *targets) longestMeanRun() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.backlog.LongestMeanRun()
 }
 
-// recordRun notes how long a stream recordRun at a target of a service, from its first event to its end.
+// recordRun records how long a stream ran at a target of a service, from its first event to its end.
 func (t *targets) recordRun(service string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
