--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -150,7 +150,8 @@
 	return s.Routes
 }
 
-// tryRetry takes one tryRetry to a service from the fleet's budget; false when none is left.
+// tryRetry takes one retry for a service from the fleet's budget and reports whether one
+// was left.
 func (g *Gateway) tryRetry(service string) bool {
 	now := g.config.Now()
 	hosts := g.targets.entryHosts()
--- a/server/gateway/path_test.go
+++ b/server/gateway/path_test.go
@@ -59,15 +59,15 @@
 		Expect(f.arrivals()).To(BeZero())
 	})
 
-	// A booking's target is full. It says that it did not run the call; another one
-	// takes it, once.
+	// Guards against failing a call that a target refused as not run, and against running
+	// it twice.
 	It("goes on to another target that did not refuse it", func() {
 		f := newFleet("plain", notRun, notRun, answer(200, "booked"))
 		Expect(send(f.request("POST", "/order/")).body).To(Equal("booked"))
 	})
 
-	// A booking was sent and its connection broke. It may have run: a second try
-	// could send two trucks, and a refusal that says "not run" could be false.
+	// Guards against a second run of a call that is not idempotent, and against a false
+	// "not run": after a connection failure the call may have run.
 	It("sends a call that may have run and may not be repeated nowhere else", func() {
 		f := newFleet("plain", breakOff, breakOff)
 		r := send(f.request("POST", "/order/"))
@@ -90,8 +90,8 @@
 		Expect(r.header.Get(platform.HeaderStamp)).To(Equal("stamp-of-i-1"))
 	})
 
-	// A target sends a second answer to an earlier request. It comes where the next
-	// request's answer is due and would be handed to another caller.
+	// Guards against sending an answer to the wrong caller, when a target's second answer to
+	// an earlier request arrives on the connection before the next request's answer.
 	It("does not take another request's answer for its own", func() {
 		f := newFleet("plain", func(w http.ResponseWriter, _ *http.Request, _ int) {
 			w.Header().Set(platform.HeaderRequestID, "r-of-another")
@@ -110,7 +110,7 @@
 		Expect(time.Since(start)).To(And(BeNumerically(">=", 390*time.Millisecond), BeNumerically("<", 2*time.Second)))
 	})
 
-	// A caller closes the page. Its target would generate for nobody.
+	// Guards against targets that continue to generate for a disconnected caller.
 	It("lets the target know at once that the caller has gone", func() {
 		started, gone := make(chan struct{}), make(chan struct{})
 		f := newFleet("plain", func(_ http.ResponseWriter, r *http.Request, _ int) {
@@ -131,8 +131,7 @@
 		Eventually(gone).Should(BeClosed())
 	})
 
-	// An idempotent lookup meets a target that hangs. Waiting for it would use up
-	// the caller's time.
+	// Guards against spending the caller's whole deadline on a target that hangs.
 	It("goes elsewhere when a target stays silent and the call may be repeated", func() {
 		f := newFleet("plain", hang)
 		f.addTarget("i-2", "plain", answer(200, "found"))
@@ -141,9 +140,8 @@
 		}).Should(Equal("found"))
 	})
 
-	// A busy model has one target, which works off a queue. Its requests were broken
-	// off after a second, lost their places, and found no other target: none was
-	// served, late as it would have been.
+	// Guards against canceling requests queued at the only target of a model: they lost
+	// their queue positions after 1 s, found no other target, and none was served.
 	It("is left at a silent target that alone holds its model", func() {
 		release := make(chan struct{})
 		f := newFleet("models", func(w http.ResponseWriter, _ *http.Request, _ int) {
@@ -177,8 +175,8 @@
 		Expect(r.body).To(Equal("id: 1\ndata: x1\n\nid: 2\ndata: x2\n\nid: 3\ndata: x3\n\n"))
 	})
 
-	// A target dies in the middle of an event. What was generated must go on at
-	// another target, without a gap, a repeat or half an event.
+	// Guards against a gap, a duplicate or a partial event when a target fails within an
+	// event and the stream is resumed at another target.
 	It("goes on at another target after the last whole event, under the first one's stamp", func() {
 		resume := func(w http.ResponseWriter, r *http.Request, _ int) {
 			if r.Header.Get(platform.HeaderLastEvent) == "2" {
@@ -194,8 +192,8 @@
 		Expect(f.arrivals()).To(Equal(2))
 	})
 
-	// A stream that may not be resumed breaks off. It must not look whole, and no
-	// second run may begin.
+	// Guards against a truncated stream that looks complete, and against a second run of a
+	// stream that is not resumable.
 	It("does not look whole where it broke off and may not go on", func() {
 		f := newFleet("models", func(w http.ResponseWriter, _ *http.Request, _ int) { stream(w, 1, 2, true) })
 		r := send(f.request("POST", "/once/", platform.HeaderModel, "m"))
@@ -254,8 +252,8 @@
 		Expect(asked).To(Equal([]bool{true, true, false}))
 	})
 
-	// A target began to leave while a request waited for its model, and got the
-	// request seconds after its notice.
+	// Guards against sending a request to a target that began to drain while the request
+	// waited for its model.
 	It("is not waited for at a target that begins to leave", func() {
 		f := newFleet("models", answer(200, "late"))
 		f.wire.ensure = func(context.Context, *rpc.EnsureRequest) (*rpc.EnsureResponse, error) {
@@ -321,8 +319,8 @@
 		Expect(f.gateway.Ready()).NotTo(Succeed())
 	})
 
-	// A host went on taking requests for seconds after its order to stop, and cut
-	// them when its grace was over.
+	// Guards against a host that accepts requests for seconds after its stop signal and cuts
+	// them off at the end of its grace period.
 	It("finishes what runs, and takes nobody once the platform has seen that it is not ready", func() {
 		release := make(chan struct{})
 		f := newFleet("plain", func(w http.ResponseWriter, _ *http.Request, _ int) {
--- a/server/gateway/run.go
+++ b/server/gateway/run.go
@@ -21,10 +21,9 @@
 const (
 	// maxAttempts bounds the attempts of one call, refusals included.
 	maxAttempts = 6
-	// silenceLatencyFactor the target latency without an answer is when a call that may be
-	// repeated goes elsewhere: the target has hung, or its connection is silent.
-	// Three times is past the time in which the answer has its full worth, and
-	// leaves most of the time for the next attempt.
+	// silenceLatencyFactor times the target latency without an answer, a repeatable call is
+	// retried elsewhere: the target or its connection hangs. A factor of 3 is past the time
+	// of an answer's full value and leaves most of the time for the next attempt.
 	silenceLatencyFactor = 3
 	// minSilence keeps a short target latency from moving calls that a target has
 	// just queued.
--- a/server/gateway/suite_test.go
+++ b/server/gateway/suite_test.go
@@ -33,7 +33,7 @@
 	RunSpecs(t, "gateway")
 }
 
-// source is a view that the test sets.
+// source is a view.Source that the test controls.
 type source struct {
 	mu      sync.Mutex
 	current *view.Snapshot
@@ -79,14 +79,14 @@
 	}
 }
 
-// setSilent says for how long control has not answered.
+// setSilent sets for how long control has not answered.
 func (s *source) setSilent(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = d
 }
 
-// wire is the board, the control process and the agents as the test says.
+// wire is a fake of the board, the control process and the agents.
 type wire struct {
 	rpc.Control
 	mu        sync.Mutex
@@ -94,7 +94,7 @@
 	standings []*rpc.Standing
 	ensure    func(ctx context.Context, r *rpc.EnsureRequest) (*rpc.EnsureResponse, error)
 	asked     []string // models that agents were asked for
-	filling   bool     // the board is new
+	filling   bool     // the board's table is incomplete
 }
 
 func (w *wire) Watch(_ context.Context, r *rpc.WatchRequest) (*rpc.WatchResponse, error) {
@@ -127,10 +127,10 @@
 	return resp, nil
 }
 
-// targetHandler answers as a target; n counts its requests from 1.
+// targetHandler is a fake target's handler; n counts its requests from 1.
 type targetHandler func(w http.ResponseWriter, r *http.Request, n int)
 
-// lines is what a gateway has logged.
+// lines collects a gateway's log.
 type lines struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -193,13 +193,13 @@
 	}
 }
 
-// newFleet starts a gateway before targets of a service, each with its handler. Those
-// of "models" hold model m.
+// newFleet starts a gateway and targets of a service, each with its handler. Targets of
+// "models" hold model m.
 func newFleet(service string, targets ...targetHandler) *fleet {
 	return newFleetOf(service, false, targets...)
 }
 
-// newFleetOf is newFleet where the board may be new.
+// newFleetOf is newFleet with a board whose table may be incomplete.
 func newFleetOf(service string, filling bool, targets ...targetHandler) *fleet {
 	d := deploymentOf()
 	f := &fleet{
@@ -267,7 +267,7 @@
 	return n
 }
 
-// request is one that a caller sends.
+// request returns a caller's request.
 func (f *fleet) request(method, path string, headers ...string) *http.Request {
 	r, err := http.NewRequest(method, "http://"+f.address+path, nil)
 	Expect(err).NotTo(HaveOccurred())
@@ -286,8 +286,8 @@
 	status int
 	header http.Header
 	body   string
-	err    error // of the body: it broke off
-	closes bool  // the connection ends with the answer
+	err    error // of reading the body
+	closes bool  // the answer has "Connection: close"
 }
 
 // sendLater sends a request in the background; its reply comes on the channel.
@@ -300,7 +300,7 @@
 	return replies
 }
 
-// sendWithin sends a request that ends with a context.
+// sendWithin sends a request with a context.
 func sendWithin(ctx context.Context, r *http.Request) (*http.Response, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: -1}}
 	return client.Do(r.WithContext(ctx))
@@ -316,7 +316,7 @@
 	return reply{resp.StatusCode, resp.Header, string(body), err, resp.Close}
 }
 
-// raw sends bytes as they are and returns the answer.
+// raw sends text unchanged over a connection and returns the answer.
 func (f *fleet) raw(text string) *http.Response {
 	c, err := net.Dial("tcp4", f.address)
 	Expect(err).NotTo(HaveOccurred())
@@ -340,14 +340,14 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hang answers nothing until the caller has gone.
+// hang sends no answer until the caller disconnects.
 func hang(_ http.ResponseWriter, r *http.Request, _ int) { <-r.Context().Done() }
 
-// breakOff ends the connection without an answer.
+// breakOff closes the connection without an answer.
 func breakOff(http.ResponseWriter, *http.Request, int) { panic(http.ErrAbortHandler) }
 
-// events writes a stream of events from one id to another; broken: it ends within
-// the next one.
+// stream writes events with the ids from..to. If broken is set, the connection is closed
+// within the next event.
 func stream(w http.ResponseWriter, from, to int, broken bool) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from; i <= to; i++ {
--- a/server/gateway/targets.go
+++ b/server/gateway/targets.go
@@ -115,10 +115,10 @@
 }
 
 // recordDemand adds a request to the demand for a model.
-func (t *targets) recordDemand(model string, worth float64) {
+func (t *targets) recordDemand(model string, value float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.modelDemand[model] += worth
+	t.modelDemand[model] += value
 }
 
 func (t *targets) apply(r *rpc.WatchResponse) {
