--- a/server/gateway/call.go
+++ b/server/gateway/call.go
@@ -42,7 +42,7 @@
 	return c.route.Idempotent || c.route.Streaming && c.route.Resumable
 }
 
-// waitLimit is how long the caller waits for the first event of a stream.
+// waitLimit is how long the caller waits: for the first event of a stream, or else for the answer.
 func (c *call) waitLimit() time.Duration {
 	if !c.route.Streaming {
 		return c.deadline.Sub(c.start)
@@ -117,12 +117,12 @@
 // readBody reads the whole body: a retry needs it, and a slow sender must not occupy a
 // slot at a target.
 func (g *Gateway) readBody(w http.ResponseWriter, c *call) error {
-	most := c.index.Limits.BodyBytes
-	if err := c.bufferBody(w, most); err != nil {
+	limit := c.index.Limits.BodyBytes
+	if err := c.bufferBody(w, limit); err != nil {
 		return err
 	}
-	if most > 0 && int64(len(c.body)) > most {
-		return bodyTooLarge(most) // it was read under an earlier limit
+	if limit > 0 && int64(len(c.body)) > limit {
+		return bodyTooLarge(limit) // it was read under an earlier limit
 	}
 	return nil
 }
--- a/server/gateway/models.go
+++ b/server/gateway/models.go
@@ -33,13 +33,13 @@
 		return destination{}, fault.After(fault.NoCapacity, loadRetryAfter, "model %q does not stay loaded", c.modelName())
 	}
 	t.modelWaits++
-	homes := g.targets.loadCandidates(c.service.Name, loadTimes(c), t.excluded)
+	candidates := g.targets.loadCandidates(c.service.Name, loadTimes(c), t.excluded)
 	err := error(fault.After(fault.NoCapacity, loadRetryAfter, "no target can load model %q", c.modelName()))
-	for _, home := range homes[:min(maxLoadTargets, len(homes))] {
+	for _, candidate := range candidates[:min(maxLoadTargets, len(candidates))] {
 		loadedForRetry := c.retryExpected // by an earlier candidate, whose retry time is returned
-		refusal := g.ensure(ctx, c, home)
+		refusal := g.ensure(ctx, c, candidate)
 		if refusal == nil {
-			return destination{Status: home, query: g.targets.routingRequest(c)}, nil
+			return destination{Status: candidate, query: g.targets.routingRequest(c)}, nil
 		}
 		if ctx.Err() != nil {
 			return destination{}, contextError(ctx)
@@ -65,14 +65,14 @@
 // host begins to drain meanwhile, the agent is asked again with the shorter limit and
 // refuses at once if it cannot meet it. Errors: fault.NoCapacity with a retry time,
 // fault.Leaving.
-func (g *Gateway) ensure(ctx context.Context, c *call, home targetstatus.Status) error {
+func (g *Gateway) ensure(ctx context.Context, c *call, candidate targetstatus.Status) error {
 	if !g.isDraining() {
-		err := g.ensureUntil(ctx, c, home, g.draining)
+		err := g.ensureUntil(ctx, c, candidate, g.draining)
 		if err == nil || !g.isDraining() || ctx.Err() != nil {
 			return err
 		}
 	}
-	err := g.ensureUntil(ctx, c, home, g.rejectWaits)
+	err := g.ensureUntil(ctx, c, candidate, g.rejectWaits)
 	if err != nil && ctx.Err() == nil {
 		return fault.After(fault.Leaving, drainRetryAfter, "this host is shutting down; retry at another host for model %q", c.modelName())
 	}
@@ -80,32 +80,32 @@
 }
 
 // ensureUntil asks an agent once. The call ends when stop is closed.
-func (g *Gateway) ensureUntil(ctx context.Context, c *call, home targetstatus.Status, stop <-chan struct{}) error {
+func (g *Gateway) ensureUntil(ctx context.Context, c *call, candidate targetstatus.Status, stop <-chan struct{}) error {
 	limit := g.boundModelWait(c.start.Add(c.waitLimit() - ensureMargin).Sub(g.config.Now()))
 	if limit <= 0 {
 		return fault.After(fault.NoCapacity, loadRetryAfter, "model %q was not ready in time", c.modelName())
 	}
-	g.config.Events.ModelAwaited(c.RequestID, c.modelName(), home.Instance, limit)
+	g.config.Events.ModelAwaited(c.RequestID, c.modelName(), candidate.Instance, limit)
 	ctx, cancel := context.WithTimeout(ctx, limit+ensureMargin)
 	defer cancel()
 	defer g.cancelOnClose(stop, cancel)()
-	resp, err := g.config.Loader(home.Agent).Ensure(ctx, &rpc.EnsureRequest{
-		Instance: home.Instance, Model: c.Model, Adapter: c.Adapter, WaitMs: uint32(limit.Milliseconds()),
+	resp, err := g.config.Loader(candidate.Agent).Ensure(ctx, &rpc.EnsureRequest{
+		Instance: candidate.Instance, Model: c.Model, Adapter: c.Adapter, WaitMs: uint32(limit.Milliseconds()),
 		Value: c.value(), Request: c.RequestID, Retries: !c.retryExpected,
 	})
 	if err != nil {
 		f := fault.From(rpc.FromTwirp(err))
-		g.config.Events.ModelRefused(c.RequestID, c.modelName(), home.Instance, f.Message, 0)
-		return fault.After(fault.NoCapacity, loadRetryAfter, "the agent of target %s: %s", home.Instance, f.Message)
+		g.config.Events.ModelRefused(c.RequestID, c.modelName(), candidate.Instance, f.Message, 0)
+		return fault.After(fault.NoCapacity, loadRetryAfter, "the agent of target %s: %s", candidate.Instance, f.Message)
 	}
 	if resp.Held {
-		return g.targets.checkAvailable(home.Instance)
+		return g.targets.checkAvailable(candidate.Instance)
 	}
 	c.retryExpected = c.retryExpected || resp.Expected
 	after := time.Duration(resp.RetryAfterMs) * time.Millisecond
-	g.config.Events.ModelRefused(c.RequestID, c.modelName(), home.Instance, resp.Reason, after)
+	g.config.Events.ModelRefused(c.RequestID, c.modelName(), candidate.Instance, resp.Reason, after)
 	if after == 0 {
 		after = loadRetryAfter
 	}
-	return fault.After(fault.NoCapacity, after, "model %q on target %s: %s", c.modelName(), home.Instance, resp.Reason)
+	return fault.After(fault.NoCapacity, after, "model %q on target %s: %s", c.modelName(), candidate.Instance, resp.Reason)
 }
--- a/server/gateway/relay.go
+++ b/server/gateway/relay.go
@@ -68,7 +68,7 @@
 }
 
 // relayBody forwards an answer that is not a stream of events.
-func (r *relay) relayBody(ctx context.Context, a *upstream.Answer, blame routing.Outcome) outcome {
+func (r *relay) relayBody(ctx context.Context, a *upstream.Answer, result routing.Outcome) outcome {
 	var first bytes.Buffer
 	_, err := io.Copy(&first, io.LimitReader(a.Body, bufferedAnswerBytes))
 	if err != nil {
@@ -79,12 +79,12 @@
 		return outcome{err: fault.New(fault.Canceled, "the caller has gone"), result: routing.Neutral}
 	}
 	if first.Len() < bufferedAnswerBytes {
-		return outcome{result: blame}
+		return outcome{result: result}
 	}
 	if _, err := io.Copy(r.writer, a.Body); err != nil {
 		return r.readError(ctx, err)
 	}
-	return outcome{result: blame}
+	return outcome{result: result}
 }
 
 // readError distinguishes a failed target from a caller that disconnected.
--- a/server/gateway/targets.go
+++ b/server/gateway/targets.go
@@ -289,7 +289,7 @@
 	return t.config.Now().Sub(t.updatedAt)
 }
 
-// boardAnswered reports whether the board has ever boardAnswered.
+// boardAnswered reports whether the board has ever answered.
 func (t *targets) boardAnswered() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
