--- a/server/gateway/metrics.go
+++ b/server/gateway/metrics.go
@@ -12,13 +12,13 @@
 // Metrics of a gateway. Label values are bounded by the deployment's routes and
 // services and by the closed list of error kinds.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
-	failed   *prometheus.CounterVec
+	requests  *prometheus.CounterVec
+	latency   *prometheus.HistogramVec
+	firstByte *prometheus.HistogramVec
+	failed    *prometheus.CounterVec
 }
 
-// latencyBuckets span a plain call of some ten milliseconds and a cold model's half minute.
+// latencyBuckets cover calls of about 10 ms to model loads of about 30 s.
 var latencyBuckets = prometheus.ExponentialBuckets(0.005, 2, 13)
 
 // NewMetrics registers the metrics.
@@ -28,20 +28,20 @@
 			Help: "Requests by their final answer."}, []string{"route", "status", "kind"}),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "cowslip_gateway_request_seconds",
 			Help: "Time to the end of the answer.", Buckets: latencyBuckets}, []string{"route"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "cowslip_gateway_first_byte_seconds",
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "cowslip_gateway_first_byte_seconds",
 			Help: "Time to the first byte of a target's answer.", Buckets: latencyBuckets}, []string{"route"}),
 		failed: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cowslip_gateway_attempts_failed_total",
 			Help: "Attempts at targets that did not serve their request."}, []string{"service", "kind"}),
 	}
-	r.MustRegister(m.requests, m.latency, m.first, m.failed)
+	r.MustRegister(m.requests, m.latency, m.firstByte, m.failed)
 	return m
 }
 
-func (m *Metrics) ended(e events.RequestSummary) {
+func (m *Metrics) observe(e events.RequestSummary) {
 	m.requests.WithLabelValues(e.Route, strconv.Itoa(e.Status), string(e.Kind)).Inc()
 	m.latency.WithLabelValues(e.Route).Observe(e.Took.Seconds())
 	if e.FirstByte > 0 {
-		m.first.WithLabelValues(e.Route).Observe(e.FirstByte.Seconds())
+		m.firstByte.WithLabelValues(e.Route).Observe(e.FirstByte.Seconds())
 	}
 }
 
--- a/server/gateway/models.go
+++ b/server/gateway/models.go
@@ -11,47 +11,47 @@
 
 // Bounds of waiting for a model.
 const (
-	// maxHomes is how many agents are asked for a model, one after the other.
-	maxHomes = 3
-	// maxAwaited bounds how often one call waits: a model that was dropped again
+	// maxLoadTargets bounds how many agents are asked for a model, one after the other.
+	maxLoadTargets = 3
+	// maxModelWaits bounds how often one call waits: a model that was dropped again
 	// before the call arrived is asked for once more.
-	maxAwaited = 4
-	// ensureSlack is left of a caller's patience for the way to the target and its
-	// first token.
-	ensureSlack = 150 * time.Millisecond
-	// coldRetryAfter is suggested where no agent said when it can be.
-	coldRetryAfter = time.Second
-	// leavingRetryAfter: another host takes the request at once.
-	leavingRetryAfter = 50 * time.Millisecond
+	maxModelWaits = 4
+	// ensureMargin is reserved from a caller's wait limit for reaching the target and
+	// its first token.
+	ensureMargin = 150 * time.Millisecond
+	// loadRetryAfter is used if no agent gave a time.
+	loadRetryAfter = time.Second
+	// drainRetryAfter: another host takes the request at once.
+	drainRetryAfter = 50 * time.Millisecond
 )
 
-// cold gets the call's model loaded somewhere. It is called where no target that may
-// still be tried holds it.
-func (t *tries) cold(ctx context.Context) (place, error) {
+// loadModel has the call's model loaded at a target. It is called if no remaining
+// candidate holds it.
+func (t *retryState) loadModel(ctx context.Context) (destination, error) {
 	g, c := t.gateway, t.call
-	if t.awaited >= maxAwaited {
-		return place{}, fault.NewRetryAfter(fault.NoCapacity, coldRetryAfter, "model %q does not stay loaded", c.modelName())
+	if t.modelWaits >= maxModelWaits {
+		return destination{}, fault.NewRetryAfter(fault.NoCapacity, loadRetryAfter, "model %q does not stay loaded", c.modelName())
 	}
-	t.awaited++
-	homes := g.targets.homes(c.service.Name, loadTimes(c), t.exclude)
-	err := error(fault.NewRetryAfter(fault.NoCapacity, coldRetryAfter, "no target can load model %q", c.modelName()))
-	for _, home := range homes[:min(maxHomes, len(homes))] {
-		loadedForRetry := c.retryExpected // by an earlier home, whose time to retry is the answer
-		refusal := g.ensure(ctx, c, home)
+	t.modelWaits++
+	candidates := g.targets.loadCandidates(c.service.Name, loadTimes(c), t.excluded)
+	err := error(fault.NewRetryAfter(fault.NoCapacity, loadRetryAfter, "no target can load model %q", c.modelName()))
+	for _, candidate := range candidates[:min(maxLoadTargets, len(candidates))] {
+		loadedForRetry := c.retryExpected // by an earlier candidate, whose retry time is returned
+		refusal := g.ensure(ctx, c, candidate)
 		if refusal == nil {
-			return place{Status: home, query: g.targets.queryFor(c)}, nil
+			return destination{Status: candidate, query: g.targets.routingRequest(c)}, nil
 		}
 		if ctx.Err() != nil {
-			return place{}, ended(ctx)
+			return destination{}, contextError(ctx)
 		}
 		if !loadedForRetry {
 			err = refusal
 		}
 	}
-	return place{}, err
+	return destination{}, err
 }
 
-// loadTimes says what a call's model takes to load.
+// loadTimes returns the load times of a call's model.
 func loadTimes(c *call) targetstatus.LoadTimes {
 	m := c.service.Models[c.Model] // nil, and no time known, for a model that is not configured
 	return targetstatus.LoadTimes{
@@ -61,51 +61,51 @@
 	}
 }
 
-// ensure asks a target's agent to have the call's model, and its adapter, loaded. When this
-// host is told to stop meanwhile, the agent is asked again for what can come before that:
-// it refuses at once what cannot. Errors: fault.NoCapacity with when to come back,
+// ensure asks a target's agent to have the call's model, and its adapter, loaded. If this
+// host begins to drain meanwhile, the agent is asked again with the shorter limit and
+// refuses at once if it cannot meet it. Errors: fault.NoCapacity with a retry time,
 // fault.Leaving.
-func (g *Gateway) ensure(ctx context.Context, c *call, home targetstatus.Status) error {
-	if !g.leaving() {
-		err := g.ensureUntil(ctx, c, home, g.draining)
-		if err == nil || !g.leaving() || ctx.Err() != nil {
+func (g *Gateway) ensure(ctx context.Context, c *call, candidate targetstatus.Status) error {
+	if !g.isDraining() {
+		err := g.ensureUntil(ctx, c, candidate, g.draining)
+		if err == nil || !g.isDraining() || ctx.Err() != nil {
 			return err
 		}
 	}
-	err := g.ensureUntil(ctx, c, home, g.left)
+	err := g.ensureUntil(ctx, c, candidate, g.rejectWaits)
 	if err != nil && ctx.Err() == nil {
-		return fault.NewRetryAfter(fault.Leaving, leavingRetryAfter, "this host is stopping, another one can wait for model %q", c.modelName())
+		return fault.NewRetryAfter(fault.Leaving, drainRetryAfter, "this host is shutting down; retry at another host for model %q", c.modelName())
 	}
 	return err
 }
 
 // ensureUntil asks an agent once. The call ends when stop is closed.
-func (g *Gateway) ensureUntil(ctx context.Context, c *call, home targetstatus.Status, stop <-chan struct{}) error {
-	limit := g.modelLimit(c.start.Add(c.patience() - ensureSlack).Sub(g.config.Now()))
+func (g *Gateway) ensureUntil(ctx context.Context, c *call, candidate targetstatus.Status, stop <-chan struct{}) error {
+	limit := g.boundModelWait(c.start.Add(c.waitLimit() - ensureMargin).Sub(g.config.Now()))
 	if limit <= 0 {
-		return fault.NewRetryAfter(fault.NoCapacity, coldRetryAfter, "model %q was not ready in time", c.modelName())
+		return fault.NewRetryAfter(fault.NoCapacity, loadRetryAfter, "model %q was not ready in time", c.modelName())
 	}
-	g.config.Events.ModelAwaited(c.RequestID, c.modelName(), home.Instance, limit)
-	ctx, cancel := context.WithTimeout(ctx, limit+ensureSlack)
+	g.config.Events.ModelAwaited(c.RequestID, c.modelName(), candidate.Instance, limit)
+	ctx, cancel := context.WithTimeout(ctx, limit+ensureMargin)
 	defer cancel()
-	defer g.until(stop, cancel)()
-	resp, err := g.config.Loader(home.Agent).Ensure(ctx, &rpc.EnsureRequest{
-		Instance: home.Instance, Model: c.Model, Adapter: c.Adapter, WaitMs: uint32(limit.Milliseconds()),
-		Value: c.worth(), Request: c.RequestID, Retries: !c.retryExpected,
+	defer g.cancelOnClose(stop, cancel)()
+	resp, err := g.config.Loader(candidate.Agent).Ensure(ctx, &rpc.EnsureRequest{
+		Instance: candidate.Instance, Model: c.Model, Adapter: c.Adapter, WaitMs: uint32(limit.Milliseconds()),
+		Value: c.value(), Request: c.RequestID, Retries: !c.retryExpected,
 	})
 	if err != nil {
 		f := fault.From(rpc.FromTwirp(err))
-		g.config.Events.ModelRefused(c.RequestID, c.modelName(), home.Instance, f.Message, 0)
-		return fault.NewRetryAfter(fault.NoCapacity, coldRetryAfter, "the agent of target %s: %s", home.Instance, f.Message)
+		g.config.Events.ModelRefused(c.RequestID, c.modelName(), candidate.Instance, f.Message, 0)
+		return fault.NewRetryAfter(fault.NoCapacity, loadRetryAfter, "the agent of target %s: %s", candidate.Instance, f.Message)
 	}
 	if resp.Held {
-		return g.targets.stays(home.Instance)
+		return g.targets.checkAvailable(candidate.Instance)
 	}
 	c.retryExpected = c.retryExpected || resp.Expected
 	after := time.Duration(resp.RetryAfterMs) * time.Millisecond
-	g.config.Events.ModelRefused(c.RequestID, c.modelName(), home.Instance, resp.Reason, after)
+	g.config.Events.ModelRefused(c.RequestID, c.modelName(), candidate.Instance, resp.Reason, after)
 	if after == 0 {
-		after = coldRetryAfter
+		after = loadRetryAfter
 	}
-	return fault.NewRetryAfter(fault.NoCapacity, after, "model %q on target %s: %s", c.modelName(), home.Instance, resp.Reason)
+	return fault.NewRetryAfter(fault.NoCapacity, after, "model %q on target %s: %s", c.modelName(), candidate.Instance, resp.Reason)
 }
