--- a/ctl/command/traffic.go
+++ b/ctl/command/traffic.go
@@ -102,7 +102,7 @@
 func (c *standin) Execute([]string) error {
 	target := engine.New(engine.Config{
 		Name: c.Name, MemoryBytes: int64(c.MemoryGiB * (1 << 30)), Concurrency: c.Concurrency,
-		TokenTime: c.TokenTime, PromptTime: c.PromptTime, ReportLag: c.ReportLag,
+		TokenTime: c.TokenTime, PromptTime: c.PromptTime, StatusInterval: c.ReportLag,
 		RestartTime: c.RestartTime, ChecksFencing: c.ChecksFencing,
 	})
 	server := &http.Server{Addr: c.Address, Handler: target.Handler(), ReadHeaderTimeout: 10 * time.Second}
--- a/ctl/e2e/faults_test.go
+++ b/ctl/e2e/faults_test.go
@@ -88,7 +88,7 @@
 		}),
 		Entry("half answers", uint64(24), 0.1, func(f *fleet) {
 			for i := range f.standins {
-				f.faults(i, engine.Faults{HalfAnswer: true})
+				f.faults(i, engine.Faults{TruncateResponse: true})
 			}
 		}),
 	)
--- a/ctl/load/load_test.go
+++ b/ctl/load/load_test.go
@@ -63,7 +63,7 @@
 	// A target closes the connection in the middle of each answer. If the tool
 	// took half an answer for a whole one, a lost answer would never show.
 	It("never counts half an answer as answered", func() {
-		target.SetFaults(engine.Faults{HalfAnswer: true})
+		target.SetFaults(engine.Faults{TruncateResponse: true})
 		r := run()
 		for _, row := range r.Rows {
 			Expect(row.Answered).To(BeZero())
--- a/server/entry/control_test.go
+++ b/server/entry/control_test.go
@@ -282,7 +282,7 @@
 
 // struckBody returns the body of the execution that a strike is about.
 func (c *fakeControl) struckBody(target *engine.Target, strike *coordpb.RecordStrike) string {
-	for _, execution := range target.Record() {
+	for _, execution := range target.Executions() {
 		if execution.Attempt == strike.Attempt {
 			return execution.Body
 		}
--- a/server/entry/failures_test.go
+++ b/server/entry/failures_test.go
@@ -114,7 +114,7 @@
 	It("answers by the deadline when a target never does", func() {
 		f := newFleet(1, "engine-1")
 		f.load("m1", "engine-1")
-		f.targets["engine-1"].SetFaults(engine.Faults{LateMS: time.Hour.Milliseconds()})
+		f.targets["engine-1"].SetFaults(engine.Faults{ResponseDelayMS: time.Hour.Milliseconds()})
 		got := f.send(ask{path: "/v1/completions", body: wholeBody, header: map[string]string{"Cowslip-Class": "hasty"}})
 		Expect(got.status).To(Equal(http.StatusGatewayTimeout), got.body)
 		Expect(got.refusal().Ran).To(Equal("unknown"))
@@ -126,19 +126,19 @@
 	It("runs again elsewhere what a hung target had taken", func() {
 		f := newFleet(1, "engine-1", "engine-2")
 		f.load("m1", "engine-1")
-		f.targets["engine-1"].SetFaults(engine.Faults{LateMS: time.Hour.Milliseconds()})
+		f.targets["engine-1"].SetFaults(engine.Faults{ResponseDelayMS: time.Hour.Milliseconds()})
 		answered := make(chan reply, 1)
 		go func() {
 			defer GinkgoRecover()
 			answered <- f.send(ask{path: "/v1/completions", body: wholeBody, header: map[string]string{"Cowslip-Class": "brief"}})
 		}()
-		Eventually(f.targets["engine-1"].Record).WithTimeout(generous).Should(HaveLen(1))
-		f.targets["engine-1"].SetFaults(engine.Faults{Silent: true})
+		Eventually(f.targets["engine-1"].Executions).WithTimeout(generous).Should(HaveLen(1))
+		f.targets["engine-1"].SetFaults(engine.Faults{NeverRespond: true})
 		f.control.decide("m1", "engine-2")
 		var got reply
 		Eventually(answered).WithTimeout(generous).Should(Receive(&got))
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
-		Expect(f.targets["engine-2"].Record()).To(HaveLen(1))
+		Expect(f.targets["engine-2"].Executions()).To(HaveLen(1))
 	})
 
 	// A model cannot be had in time: no target was asked.
@@ -146,7 +146,7 @@
 		f := newFleet(1, "engine-1")
 		got := f.send(ask{path: "/v1/completions", body: `{"model":"m2"}`, header: map[string]string{"Cowslip-Class": "hasty"}})
 		Expect(got.refusal().Ran).To(Equal("no"), got.body)
-		Expect(f.targets["engine-1"].Record()).To(BeEmpty())
+		Expect(f.targets["engine-1"].Executions()).To(BeEmpty())
 	})
 
 	// A customer leaves the counter. Without cancelling, the engine goes on
@@ -187,7 +187,7 @@
 		Expect(got.refusal().Kind).To(Equal("unauthenticated"), got.body)
 		Expect(got.refusal().Ran).To(Equal("no"))
 		f.load("m2", "engine-1")
-		Expect(f.targets["engine-1"].Record()).To(BeEmpty())
+		Expect(f.targets["engine-1"].Executions()).To(BeEmpty())
 	})
 
 	// One request crashes each engine that runs it, and its caller sends it again
@@ -205,11 +205,11 @@
 			got := f.send(bad)
 			Expect(got.status).NotTo(Equal(http.StatusOK))
 		}
-		ran := len(f.targets["engine-1"].Record()) + len(f.targets["engine-2"].Record())
+		ran := len(f.targets["engine-1"].Executions()) + len(f.targets["engine-2"].Executions())
 		bad.entry = 1
 		Expect(f.send(bad).refusal().Kind).To(Equal("quarantined"))
 		Expect(ran).To(Equal(2))
-		Expect(len(f.targets["engine-1"].Record()) + len(f.targets["engine-2"].Record())).To(Equal(2))
+		Expect(len(f.targets["engine-1"].Executions()) + len(f.targets["engine-2"].Executions())).To(Equal(2))
 		Expect(f.send(ask{path: "/v1/completions", body: wholeBody}).status).To(Equal(http.StatusOK))
 	})
 
@@ -218,14 +218,14 @@
 		f := newFleet(1, "engine-1")
 		f.load("m1", "engine-1")
 		f.control.loads["m1"] = "engine-1"
-		f.targets["engine-1"].SetFaults(engine.Faults{CrashMarker: "poison", LateMS: 300})
+		f.targets["engine-1"].SetFaults(engine.Faults{CrashMarker: "poison", ResponseDelayMS: 300})
 		neighbour := ask{path: "/v1/completions", body: wholeBody}
 		answered := make(chan reply, 1)
 		go func() {
 			defer GinkgoRecover()
 			answered <- f.send(neighbour)
 		}()
-		Eventually(f.targets["engine-1"].Record).WithTimeout(generous).Should(HaveLen(1))
+		Eventually(f.targets["engine-1"].Executions).WithTimeout(generous).Should(HaveLen(1))
 		f.send(ask{path: "/v1/completions", body: `{"model":"m1","prompt":"poison"}`})
 		var got reply
 		Eventually(answered).WithTimeout(generous).Should(Receive(&got))
@@ -280,7 +280,7 @@
 		Expect(got.status).To(Equal(http.StatusTooManyRequests), got.body)
 		Expect(got.refusal().Ran).To(Equal("no"))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(f.targets["engine-1"].Record()).To(BeEmpty())
+		Expect(f.targets["engine-1"].Executions()).To(BeEmpty())
 	})
 
 	// A target is reclaimed. Its agent refuses what is new and what waits, which
@@ -288,20 +288,20 @@
 	It("drains an agent without cutting or losing a request", func() {
 		f := newFleet(1, "engine-1", "engine-2")
 		f.load("m1", "engine-1")
-		f.targets["engine-1"].SetFaults(engine.Faults{LateMS: 200})
+		f.targets["engine-1"].SetFaults(engine.Faults{ResponseDelayMS: 200})
 		answered := make(chan reply, 1)
 		go func() {
 			defer GinkgoRecover()
 			answered <- f.send(ask{path: "/v1/completions", body: streamBody})
 		}()
-		Eventually(f.targets["engine-1"].Record).WithTimeout(generous).Should(HaveLen(1))
+		Eventually(f.targets["engine-1"].Executions).WithTimeout(generous).Should(HaveLen(1))
 		drained := make(chan error, 1)
 		go func() { drained <- f.agents["engine-1"].Drain(context.Background()) }()
 		Eventually(f.agents["engine-1"].Ready).WithTimeout(generous).Should(HaveOccurred())
 		f.control.decide("m1", "engine-2")
 		elsewhere := f.send(ask{path: "/v1/completions", body: wholeBody})
 		Expect(elsewhere.status).To(Equal(http.StatusOK), elsewhere.body)
-		Expect(f.targets["engine-2"].Record()).To(HaveLen(1))
+		Expect(f.targets["engine-2"].Executions()).To(HaveLen(1))
 		var got reply
 		Eventually(answered).WithTimeout(generous).Should(Receive(&got))
 		Expect(streamText(got.body)).To(HaveSuffix("digest:" + digestOf(streamBody)))
--- a/server/entry/limits_test.go
+++ b/server/entry/limits_test.go
@@ -24,14 +24,14 @@
 		f.settings.MaxRequests = 1
 		f.addEntry()
 		f.load("m1", "engine-1")
-		f.targets["engine-1"].SetFaults(engine.Faults{LateMS: time.Hour.Milliseconds()})
+		f.targets["engine-1"].SetFaults(engine.Faults{ResponseDelayMS: time.Hour.Milliseconds()})
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			if res, err := f.open(ctx, ask{path: "/v1/completions", body: wholeBody}); err == nil {
 				_ = res.Body.Close()
 			}
 		}()
-		Eventually(f.targets["engine-1"].Record).WithTimeout(generous).Should(HaveLen(1))
+		Eventually(f.targets["engine-1"].Executions).WithTimeout(generous).Should(HaveLen(1))
 		got := f.send(ask{path: "/v1/completions", body: wholeBody})
 		Expect(got.refusal().Kind).To(Equal("overloaded"))
 		Expect(got.refusal().Ran).To(Equal("no"))
@@ -60,7 +60,7 @@
 		Expect(conn.(*net.TCPConn).CloseWrite()).To(Succeed())
 		_, err = io.ReadAll(conn)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(f.targets["engine-1"].Record()).To(BeEmpty())
+		Expect(f.targets["engine-1"].Executions()).To(BeEmpty())
 	})
 
 	It("answers one request after another on a connection", func() {
@@ -90,7 +90,7 @@
 		f.addEntry()
 		f.load("m1", "engine-1")
 		answered := f.send(ask{path: "/v1/completions", body: wholeBody})
-		f.targets["engine-1"].SetFaults(engine.Faults{HalfAnswer: true})
+		f.targets["engine-1"].SetFaults(engine.Faults{TruncateResponse: true})
 		f.send(ask{path: "/v1/completions", body: streamBody})
 		f.send(ask{path: "/v1/completions", body: wholeBody, key: "a-guessed-key"})
 		Eventually(log).WithTimeout(generous).Should(gbytes.Say(answered.header.Get("Request-Id")))
--- a/server/entry/once_test.go
+++ b/server/entry/once_test.go
@@ -39,7 +39,7 @@
 		Expect(second.status).To(Equal(http.StatusOK), second.body)
 		Expect(second.body).To(Equal(first.body))
 		Expect(second.header.Get("Content-Type")).To(Equal(first.header.Get("Content-Type")))
-		Expect(f.targets["portal-1"].Record()).To(HaveLen(1))
+		Expect(f.targets["portal-1"].Executions()).To(HaveLen(1))
 
 		other := confirmation(0, "once-17")
 		other.body = `{"manifest":18}`
@@ -66,7 +66,7 @@
 		}
 		without := f.send(confirmation(0, ""))
 		Expect(without.refusal().Ran).To(Equal("unknown"))
-		Expect(f.targets["portal-1"].Record()).To(HaveLen(3)) // warm, once-17, and the one without a key
+		Expect(f.targets["portal-1"].Executions()).To(HaveLen(3)) // warm, once-17, and the one without a key
 	})
 
 	// The same on the way from the entry host: the agent's process dies after it
@@ -111,7 +111,7 @@
 		between.silence()
 		got := f.send(confirmation(0, "once-17"))
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
-		Expect(f.targets["portal-1"].Record()).To(HaveLen(2))
+		Expect(f.targets["portal-1"].Executions()).To(HaveLen(2))
 	})
 
 	// One of the portal's targets is leaving. Its agent's refusal proves that
@@ -123,8 +123,8 @@
 			got := f.send(confirmation(0, key))
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
 		}
-		Expect(f.targets["portal-1"].Record()).To(BeEmpty())
-		Expect(f.targets["portal-2"].Record()).To(HaveLen(6))
+		Expect(f.targets["portal-1"].Executions()).To(BeEmpty())
+		Expect(f.targets["portal-2"].Executions()).To(HaveLen(6))
 	})
 
 	It("frees its key when it did not run anywhere", func() {
@@ -147,7 +147,7 @@
 		got := f.send(a)
 		Expect(got.refusal().Kind).To(Equal("no_quorum"))
 		Expect(got.refusal().Ran).To(Equal("no"))
-		Expect(f.targets["portal-1"].Record()).To(BeEmpty())
+		Expect(f.targets["portal-1"].Executions()).To(BeEmpty())
 		f.control.fail(nil)
 		Expect(f.send(confirmation(0, "once-17")).status).To(Equal(http.StatusOK))
 	})
@@ -190,6 +190,6 @@
 			Expect(err).NotTo(HaveOccurred())
 			_ = res.Body.Close()
 		}
-		Expect(f.targets["portal-1"].Record()).To(HaveLen(1))
+		Expect(f.targets["portal-1"].Executions()).To(HaveLen(1))
 	})
 })
--- a/server/entry/path_test.go
+++ b/server/entry/path_test.go
@@ -60,7 +60,7 @@
 		Expect(f.send(ask{path: "/v1/completions", body: wholeBody, header: header}).status).To(Equal(http.StatusOK))
 		Expect(f.send(ask{path: "/v1/services/portal/manifests/confirm", body: "{}", header: header}).status).To(Equal(http.StatusOK))
 		for _, target := range f.targets {
-			for _, execution := range target.Record() {
+			for _, execution := range target.Executions() {
 				for name, values := range execution.Header {
 					Expect(name).NotTo(BeElementOf("Authorization", "Idempotency-Key", "Cookie"))
 					Expect(values).NotTo(ContainElement(ContainSubstring(labsKey)))
@@ -78,7 +78,7 @@
 			Expect(got.refusal().Kind).To(Equal(kind))
 			Expect(got.refusal().Ran).To(Equal("no"))
 			Expect(got.refusal().RequestID).To(Equal(got.header.Get("Request-Id")))
-			Expect(f.targets["engine-1"].Record()).To(BeEmpty())
+			Expect(f.targets["engine-1"].Executions()).To(BeEmpty())
 		},
 		Entry("an unknown key", ask{path: "/v1/completions", body: wholeBody, key: "guessed"}, 401, "unauthenticated"),
 		Entry("a model of others", ask{path: "/v1/completions", body: wholeBody, key: driversKey}, 404, "not_found"),
@@ -111,7 +111,7 @@
 	It("ends a broken stream with an error event", func() {
 		f := newFleet(1, "engine-1")
 		f.load("m1", "engine-1")
-		f.targets["engine-1"].SetFaults(engine.Faults{HalfAnswer: true})
+		f.targets["engine-1"].SetFaults(engine.Faults{TruncateResponse: true})
 		got := f.send(ask{path: "/v1/completions", body: streamBody})
 		Expect(got.broken).NotTo(HaveOccurred())
 		Expect(got.body).NotTo(ContainSubstring("[DONE]"))
@@ -120,7 +120,7 @@
 
 	It("refuses a whole answer that broke while it was held", func() {
 		f := newFleet(1, "portal-1")
-		f.targets["portal-1"].SetFaults(engine.Faults{HalfAnswer: true})
+		f.targets["portal-1"].SetFaults(engine.Faults{TruncateResponse: true})
 		got := f.send(ask{path: "/v1/services/portal/bookings", body: "{}"})
 		Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
 		Expect(got.refusal().Ran).To(Equal("unknown"))
@@ -137,13 +137,13 @@
 	It("drains without cutting a request", func() {
 		f := newFleet(1, "engine-1")
 		f.load("m1", "engine-1")
-		f.targets["engine-1"].SetFaults(engine.Faults{LateMS: 100})
+		f.targets["engine-1"].SetFaults(engine.Faults{ResponseDelayMS: 100})
 		answered := make(chan reply, 1)
 		go func() {
 			defer GinkgoRecover()
 			answered <- f.send(ask{path: "/v1/completions", body: streamBody})
 		}()
-		Eventually(f.targets["engine-1"].Record).WithTimeout(generous).Should(HaveLen(1))
+		Eventually(f.targets["engine-1"].Executions).WithTimeout(generous).Should(HaveLen(1))
 		drained := make(chan error, 1)
 		go func() { drained <- f.entries[0].Drain(context.Background()) }()
 		Eventually(f.entries[0].Ready).WithTimeout(generous).Should(HaveOccurred())
--- a/server/entry/traffic_test.go
+++ b/server/entry/traffic_test.go
@@ -14,7 +14,7 @@
 
 // faultsInTurn are what a target may suffer during a round.
 var faultsInTurn = []engine.Faults{
-	{}, {}, {}, {HalfAnswer: true}, {CloseAfterRead: true}, {LateMS: 30}, {SlowFactor: 5}, {LateMS: 3000}, {CrashMarker: `"`},
+	{}, {}, {}, {TruncateResponse: true}, {CloseAfterRead: true}, {ResponseDelayMS: 30}, {SlowFactor: 5}, {ResponseDelayMS: 3000}, {CrashMarker: `"`},
 }
 
 const (
@@ -60,7 +60,7 @@
 func (f *fleet) judge(all []sent) {
 	ran := map[string]int{} // by digest of the body
 	for _, target := range f.targets {
-		for _, execution := range target.Record() {
+		for _, execution := range target.Executions() {
 			ran[execution.Digest]++
 			Expect(fmt.Sprint(execution.Header)).NotTo(ContainSubstring(labsKey))
 		}
--- a/standin/engine/completions.go
+++ b/standin/engine/completions.go
@@ -104,7 +104,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	faults, _, _ := t.state()
-	if faults.HalfAnswer && i == total/2 {
+	if faults.TruncateResponse && i == total/2 {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -133,7 +133,7 @@
 	answer, _ := json.Marshal(map[string]any{"path": path, "digest": digest(body), "executions": runs})
 	faults, _, _ := t.state()
 	w.Header().Set("Content-Type", "application/json")
-	if faults.HalfAnswer {
+	if faults.TruncateResponse {
 		w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
 		_, _ = w.Write(answer[:len(answer)/2])
 		panic(http.ErrAbortHandler)
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -52,14 +52,14 @@
 		Expect(load("a", 60, 2)).To(Equal(http.StatusOK))
 		Expect(load("b", 60, 3)).To(Equal(http.StatusInsufficientStorage))
 		Expect(load("a", 60, 1)).To(Equal(http.StatusConflict))
-		Expect(target.Peak()).To(BeEquivalentTo(60))
+		Expect(target.PeakMemoryBytes()).To(BeEquivalentTo(60))
 	})
 
 	It("answers whole and streamed, with the digest of the request", func() {
 		Expect(load("a", 60, 1)).To(Equal(http.StatusOK))
 		_, whole, err := post("/v1/completions", map[string]any{"model": "a", "prompt": "x", "max_tokens": 3})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(whole).To(ContainSubstring("digest:" + target.Record()[0].Digest))
+		Expect(whole).To(ContainSubstring("digest:" + target.Executions()[0].Digest))
 		_, stream, err := post("/v1/chat/completions", map[string]any{"model": "a", "stream": true, "max_tokens": 3})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(strings.Count(stream, "data: ")).To(Equal(5))
@@ -70,7 +70,7 @@
 		target.SetFaults(engine.Faults{CloseAfterRead: true})
 		_, _, err := post("/confirm", map[string]any{"order": 1})
 		Expect(err).To(HaveOccurred())
-		Expect(target.Record()).To(HaveLen(1))
+		Expect(target.Executions()).To(HaveLen(1))
 	})
 
 	It("crashes on a marked request and loses what it held", func() {
--- a/standin/engine/target.go
+++ b/standin/engine/target.go
@@ -67,13 +67,13 @@
 	t.faults = f
 }
 
-// Record returns the requests executed so far, also those before a crash.
-func (t *Target) Record() []Execution {
+// Executions returns the requests executed so far, also those before a crash.
+func (t *Target) Executions() []Execution {
 	return t.record.list()
 }
 
-// Peak returns the highest memory use so far, in bytes.
-func (t *Target) Peak() int64 {
+// PeakMemoryBytes returns the highest memory use so far, in bytes.
+func (t *Target) PeakMemoryBytes() int64 {
 	_, _, peak, _ := t.mem.list()
 	return peak
 }
@@ -108,7 +108,7 @@
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		defer context.AfterFunc(lifetime, cancel)()
-		if faults.Silent {
+		if faults.NeverRespond {
 			<-ctx.Done()
 			panic(http.ErrAbortHandler)
 		}
@@ -146,7 +146,7 @@
 	if faults.CloseAfterRead {
 		panic(http.ErrAbortHandler)
 	}
-	return body, runs, sleep(r.Context(), time.Duration(faults.LateMS)*time.Millisecond)
+	return body, runs, sleep(r.Context(), time.Duration(faults.ResponseDelayMS)*time.Millisecond)
 }
 
 var errNotLoaded = errors.New("model not loaded")
@@ -174,7 +174,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	if now.Sub(t.reportedAt) >= t.cfg.ReportLag {
+	if now.Sub(t.reportedAt) >= t.cfg.StatusInterval {
 		t.reportedRunning = t.running.Load()
 		t.reportedAt = now
 	}
