--- a/server/entry/once_test.go
+++ b/server/entry/once_test.go
@@ -39,7 +39,7 @@
 		Expect(second.status).To(Equal(http.StatusOK), second.body)
 		Expect(second.body).To(Equal(first.body))
 		Expect(second.header.Get("Content-Type")).To(Equal(first.header.Get("Content-Type")))
-		Expect(f.targets["portal-1"].Record()).To(HaveLen(1))
+		Expect(f.targets["portal-1"].Executions()).To(HaveLen(1))
 
 		other := confirmation(0, "once-17")
 		other.body = `{"manifest":18}`
@@ -66,7 +66,7 @@
 		}
 		without := f.send(confirmation(0, ""))
 		Expect(without.refusal().Ran).To(Equal("unknown"))
-		Expect(f.targets["portal-1"].Record()).To(HaveLen(3)) // warm, once-17, and the one without a key
+		Expect(f.targets["portal-1"].Executions()).To(HaveLen(3)) // warm, once-17, and the one without a key
 	})
 
 	// The same on the way from the entry host: the agent's process dies after it
@@ -105,13 +105,13 @@
 	// next confirmation would go into it, and its driver be told "unknown".
 	It("does not go first on a connection that has gone silent", func() {
 		f := newFleet(1, "portal-1")
-		between := newProxy(f.control.Current().AgentOf["portal-1"].Address)
+		between := newProxy(f.control.Current().AgentByTarget["portal-1"].Address)
 		f.setAgent("portal-1", between.address())
 		Expect(f.send(confirmation(0, "warm")).status).To(Equal(http.StatusOK))
 		between.silence()
 		got := f.send(confirmation(0, "once-17"))
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
-		Expect(f.targets["portal-1"].Record()).To(HaveLen(2))
+		Expect(f.targets["portal-1"].Executions()).To(HaveLen(2))
 	})
 
 	// One of the portal's targets is leaving. Its agent's refusal proves that
@@ -123,8 +123,8 @@
 			got := f.send(confirmation(0, key))
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
 		}
-		Expect(f.targets["portal-1"].Record()).To(BeEmpty())
-		Expect(f.targets["portal-2"].Record()).To(HaveLen(6))
+		Expect(f.targets["portal-1"].Executions()).To(BeEmpty())
+		Expect(f.targets["portal-2"].Executions()).To(HaveLen(6))
 	})
 
 	It("frees its key when it did not run anywhere", func() {
@@ -147,7 +147,7 @@
 		got := f.send(a)
 		Expect(got.refusal().Kind).To(Equal("no_quorum"))
 		Expect(got.refusal().Ran).To(Equal("no"))
-		Expect(f.targets["portal-1"].Record()).To(BeEmpty())
+		Expect(f.targets["portal-1"].Executions()).To(BeEmpty())
 		f.control.fail(nil)
 		Expect(f.send(confirmation(0, "once-17")).status).To(Equal(http.StatusOK))
 	})
@@ -179,9 +179,9 @@
 		digest := sha256.Sum256([]byte(labsKey))
 		key := f.control.Current().Keys[view.Digest(digest)]
 		head := &wire.Request{Attempt: "a-1", ID: "a", Workspace: "labs", KeyID: key.KeyId, Class: "confirmation",
-			Service: "portal", Path: "/manifests/confirm", Call: "once-17", Left: 10 * time.Second}
+			Service: "portal", Path: "/manifests/confirm", Call: "once-17", Timeout: 10 * time.Second}
 		for range 2 {
-			req, err := http.NewRequest(http.MethodPost, "http://"+f.control.Current().AgentOf["portal-1"].Address+wire.RunPath, http.NoBody)
+			req, err := http.NewRequest(http.MethodPost, "http://"+f.control.Current().AgentByTarget["portal-1"].Address+wire.RunPath, http.NoBody)
 			Expect(err).NotTo(HaveOccurred())
 			head.WriteHeader(req.Header)
 			res, err := f.client.Do(req)
@@ -190,6 +190,6 @@
 			Expect(err).NotTo(HaveOccurred())
 			_ = res.Body.Close()
 		}
-		Expect(f.targets["portal-1"].Record()).To(HaveLen(1))
+		Expect(f.targets["portal-1"].Executions()).To(HaveLen(1))
 	})
 })
--- a/server/gateway/gateway.go
+++ b/server/gateway/gateway.go
@@ -18,29 +18,29 @@
 	"cowsliptiller/server/view"
 )
 
-// Source is the view with what a request needs that waits for it.
+// Source is the view, with the signals that requests waiting for it need.
 type Source interface {
 	view.Source
-	// Renewed returns a channel that is closed when the freshness lease is extended next.
+	// Renewed returns a channel that is closed at the next extension of the freshness lease.
 	Renewed() <-chan struct{}
 	// Silent returns for how long control has not answered; zero while it answers.
 	Silent(now time.Time) time.Duration
 }
 
-// Config is what a gateway is made of.
+// Config holds a gateway's dependencies and settings.
 type Config struct {
 	Caller    *rpc.Caller
 	Source    Source
 	Control   rpc.Control
-	Board     func() rpc.Board                // of the control leader; nil while it is not known
+	Board     func() rpc.Board                // client of the control leader's board; nil while the leader is unknown
 	Loader    func(address string) rpc.Loader // of the agent at an internal address
 	Listen    string                          // IP:port for callers
-	Ready     string                          // IP:port that answers whether this host takes callers
-	Ratio     float64                         // repeats as a share of requests, over the fleet
-	Reserve   float64                         // repeats on top in a window
-	Window    time.Duration                   // in which repeats are counted
-	DrainLook time.Duration                   // until the platform has seen that this host is not ready
-	Grace     time.Duration                   // between the order to stop and the end
+	Ready     string                          // IP:port of the readiness endpoint
+	Ratio     float64                         // retries as a share of requests, over the fleet
+	Reserve   float64                         // additional retries per window
+	Window    time.Duration                   // over which retries are counted
+	DrainLook time.Duration                   // from failing readiness until the platform stops routing here
+	Grace     time.Duration                   // from the stop signal to the end of the process
 	Metrics   *Metrics
 	Events    *events.Log
 	Log       hclog.Logger
@@ -49,34 +49,34 @@
 
 // Gateway implements process.Role.
 type Gateway struct {
-	config  Config
-	rate    *charging.Rate
-	pool    *upstream.Pool
-	targets *targets
-	callers *connections
-	stop    context.CancelFunc
-	stopped sync.WaitGroup
-
-	mu       sync.Mutex
-	budgets  map[string]*request.FleetBudget // by service
-	waitsEnd time.Time                       // while draining: when left closes
-	draining chan struct{}                   // closed at the order to stop
-	closed   bool                            // takes no request any more
-	left     chan struct{}                   // closed while draining: who still waits for a model is sent elsewhere
-	ended    chan struct{}                   // closed when what still runs must be answered
-	running  int                             // requests that have no final answer yet
+	config      Config
+	rate        *charging.Rate
+	pool        *upstream.Pool
+	targets     *targets
+	connections *connections
+	stop        context.CancelFunc
+	workers     sync.WaitGroup
+
+	mu           sync.Mutex
+	retryBudgets map[string]*request.FleetBudget // by service
+	waitDeadline time.Time                       // while draining: when rejectWaits closes
+	draining     chan struct{}                   // closed at the stop signal
+	closed       bool                            // new requests are refused
+	rejectWaits  chan struct{}                   // closed while draining: calls waiting for a model are refused
+	cancelCalls  chan struct{}                   // closed when running calls are canceled and answered
+	running      int                             // requests without a final answer
 }
 
 // New returns a gateway that has not started.
 func New(c Config) *Gateway {
 	return &Gateway{
-		config:   c,
-		rate:     charging.New(charging.Options{Caller: c.Caller, Control: c.Control, Now: c.Now, Log: c.Log}),
-		pool:     upstream.NewPool(c.Now),
-		targets:  newTargets(c),
-		callers:  newConnections(c.Now),
-		budgets:  map[string]*request.FleetBudget{},
-		draining: make(chan struct{}), left: make(chan struct{}), ended: make(chan struct{}),
+		config:       c,
+		rate:         charging.New(charging.Options{Caller: c.Caller, Control: c.Control, Now: c.Now, Log: c.Log}),
+		pool:         upstream.NewPool(c.Now),
+		targets:      newTargets(c),
+		connections:  newConnections(c.Now),
+		retryBudgets: map[string]*request.FleetBudget{},
+		draining:     make(chan struct{}), rejectWaits: make(chan struct{}), cancelCalls: make(chan struct{}),
 	}
 }
 
@@ -89,17 +89,17 @@
 // Start implements process.Role.
 func (g *Gateway) Start(ctx context.Context) error {
 	ctx, g.stop = context.WithCancel(context.WithoutCancel(ctx))
-	g.stopped.Go(func() { g.rate.Run(ctx) })
-	g.stopped.Go(func() { g.targets.watch(ctx) })
-	g.stopped.Go(func() { g.follow(ctx) })
-	g.stopped.Go(func() { g.sweep(ctx) })
+	g.workers.Go(func() { g.rate.Run(ctx) })
+	g.workers.Go(func() { g.targets.watch(ctx) })
+	g.workers.Go(func() { g.followDeployment(ctx) })
+	g.workers.Go(func() { g.sweepIdle(ctx) })
 	return g.listen()
 }
 
-// sweepInterval is how often idle connections are looked through.
+// sweepInterval is the interval between scans for idle connections.
 const sweepInterval = 500 * time.Millisecond
 
-func (g *Gateway) sweep(ctx context.Context) {
+func (g *Gateway) sweepIdle(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
@@ -107,14 +107,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			g.pool.Sweep()
-			g.callers.sweep(g.idleLimit())
+			g.pool.CloseExpired()
+			g.connections.sweep(g.idleLimit())
 		}
 	}
 }
 
-// follow takes each new deployment's limits as soon as it is known.
-func (g *Gateway) follow(ctx context.Context) {
+// followDeployment applies the rate limits of each new deployment.
+func (g *Gateway) followDeployment(ctx context.Context) {
 	for {
 		changed := g.config.Source.Changed()
 		if s := g.config.Source.Current(); s != nil && s.Deployment != nil {
@@ -128,17 +128,17 @@
 	}
 }
 
-// configureRate gives the rate the limits of a view. Requests call it too: one that
-// is admitted by a deployment must not find its workspace unknown to the rate.
+// configureRate applies a view's limits to the rate limiter. Requests call it too: a
+// request admitted under a deployment must find its workspace in the rate limiter.
 func (g *Gateway) configureRate(s *view.Snapshot) {
 	g.rate.Configure(s.Deployment.Version, func() map[string]workspace.Limit {
 		g.config.Events.DeploymentFollowed(s.Deployment.Version, s.Revision)
-		return deployment.Limits(s.Deployment)
+		return deployment.WorkspaceLimits(s.Deployment)
 	})
 }
 
-// index returns the deployment to follow, nil where none is known or what is known
-// may be old. The lease is asked for first: see view.Follower.
+// index returns the deployment to follow, nil if there is none or it may be
+// stale. The lease is checked before the view is read: see view.Follower.
 func (g *Gateway) index() *deployment.Index {
 	if !g.config.Source.Fresh(g.config.Now()) {
 		return nil
@@ -150,29 +150,30 @@
 	return s.Routes
 }
 
-// repeat takes one repeat to a service from the fleet's budget; false when none is left.
-func (g *Gateway) repeat(service string) bool {
+// tryRetry takes one retry for a service from the fleet's budget and reports whether one
+// was left.
+func (g *Gateway) tryRetry(service string) bool {
 	now := g.config.Now()
 	hosts := g.targets.entryHosts()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.budget(service).TryRetry(hosts, now)
+	return g.retryBudget(service).TryRetry(hosts, now)
 }
 
-// firstAttempt notes a request to a service: repeats are a share of these.
-func (g *Gateway) firstAttempt(service string) {
+// recordRequest counts a request to a service; retries are limited to a share of these.
+func (g *Gateway) recordRequest(service string) {
 	now := g.config.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget(service).RecordRequest(now)
+	g.retryBudget(service).RecordRequest(now)
 }
 
-// budget returns a service's budget of repeats. The caller holds mu.
-func (g *Gateway) budget(service string) *request.FleetBudget {
-	b := g.budgets[service]
+// retryBudget returns a service's retry budget. The caller holds mu.
+func (g *Gateway) retryBudget(service string) *request.FleetBudget {
+	b := g.retryBudgets[service]
 	if b == nil {
 		b = &request.FleetBudget{Ratio: g.config.Ratio, Reserve: g.config.Reserve, Window: g.config.Window}
-		g.budgets[service] = b
+		g.retryBudgets[service] = b
 	}
 	return b
 }
--- a/server/gateway/refuse.go
+++ b/server/gateway/refuse.go
@@ -10,7 +10,7 @@
 	"cowsliptiller/platform"
 )
 
-// refusalBody is the body of an answer of our own.
+// refusalBody is the JSON body of an answer that the gateway itself sends.
 type refusalBody struct {
 	Kind       string `json:"kind"`
 	Message    string `json:"message"`
@@ -19,42 +19,42 @@
 }
 
 // refuse answers a request that was not served. The status follows from the error's
-// kind alone (coord/fault); one that promises that nothing ran is sent only where
-// that is true: request.Call.Resolve sees to it.
+// kind alone (coord/fault); request.Call.Resolve ensures that a status which
+// promises that nothing ran is sent only if that is true.
 func (g *Gateway) refuse(w http.ResponseWriter, c *call, f *fault.Error) {
 	answer := fault.AnswerFor(f.Kind)
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	platform.StampRequest(h, c.RequestID)
+	platform.SetRequestID(h, c.RequestID)
 	if f.Ran == fault.RanNo && (f.RetryAfter > 0 || answer.RetryAfter > 0) {
 		after := f.RetryAfter
 		if after == 0 {
 			after = answer.RetryAfter
 		}
-		c.ended.RetryAfter = after
-		platform.RetryAfter(h, after)
+		c.record.RetryAfter = after
+		platform.SetRetryAfter(h, after)
 	}
-	if g.leaving() {
+	if g.isDraining() {
 		h.Set("Connection", "close")
 	}
 	body, err := json.Marshal(refusalBody{string(f.Kind), f.Message, string(f.Ran), f.Repeatable})
 	if err != nil {
-		g.config.Log.Error("refusal not encoded", "error", err)
+		g.config.Log.Error("encoding the refusal body failed", "error", err)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	c.ended.Status = answer.Status
+	c.record.Status = answer.Status
 	w.WriteHeader(answer.Status)
-	// A caller that has gone does not read it.
+	// A write error means that the caller has disconnected.
 	_, _ = w.Write(body)
 }
 
-// note logs and counts how a request ended.
-func (g *Gateway) note(c *call, f *fault.Error) {
-	c.ended.Took = g.config.Now().Sub(c.start)
-	c.ended.ViewAge = g.targets.boardAge().Round(time.Millisecond)
+// recordEnd logs and counts how a request ended.
+func (g *Gateway) recordEnd(c *call, f *fault.Error) {
+	c.record.Took = g.config.Now().Sub(c.start)
+	c.record.ViewAge = g.targets.boardAge().Round(time.Millisecond)
 	if f != nil {
-		c.ended.Kind, c.ended.Cause, c.ended.Ran = f.Kind, f.Message, f.Ran
+		c.record.Kind, c.record.Cause, c.record.Ran = f.Kind, f.Message, f.Ran
 	}
-	g.config.Events.RequestEnded(c.ended)
-	g.config.Metrics.ended(c.ended)
+	g.config.Events.RequestEnded(c.record)
+	g.config.Metrics.observe(c.record)
 }
